--- a/ponddoor/capacity/know_measure.py
+++ b/ponddoor/capacity/know_measure.py
@@ -112,8 +112,11 @@
             count = {"one": 1, "replaced": 1, "rack": max(2, size // RACKS), "zone": size // 8}[under]
             found = _died(world, under, max(count, 1), 300 * SECOND if under == "replaced" else 0)
     took = time.process_time() - begun
-    return [*found, Figure("know.wrong", world.most_wrong, "pairs"),
-            Figure("know.factor", (world.now - began_at) / SECOND / took, "times")]  # fmt: skip
+    return [
+        *found,
+        Figure("know.wrong", world.most_wrong, "pairs"),
+        Figure("know.factor", (world.now - began_at) / SECOND / took, "times"),
+    ]
 
 
 def _died(world: Knowing, under: str, count: int, away: int) -> list[Figure]:
--- a/ponddoor/capacity/loop_measure.py
+++ b/ponddoor/capacity/loop_measure.py
@@ -126,8 +126,7 @@
         taken.append((time.thread_time_ns() - begun) / 1e9)
         if server is not None:
             one.leave(number, server)
-    return [Figure("decide.cpu", statistics.median(taken), "s"),
-            Figure("decide.memory", memory, "B", "held")]  # fmt: skip
+    return [Figure("decide.cpu", statistics.median(taken), "s"), Figure("decide.memory", memory, "B", "held")]
 
 
 def titles(size: int, under: str, seed: int) -> list[Figure]:
--- a/ponddoor/capacity/page.py
+++ b/ponddoor/capacity/page.py
@@ -268,10 +268,18 @@
                 cell("config.in-force.all", "zone-cut") if cut else "-",
             )
         )
-    head = ("failure", "a day", "fronts lost", "viewers reached (reckoned)",
-            "more on each other front (reckoned)", "their requests decided there after (reckoned)",
-            "half of the others know after", "99% know after", "once back, 99% know after",
-            "once back, the configuration is in force after")  # fmt: skip
+    head = (
+        "failure",
+        "a day",
+        "fronts lost",
+        "viewers reached (reckoned)",
+        "more on each other front (reckoned)",
+        "their requests decided there after (reckoned)",
+        "half of the others know after",
+        "99% know after",
+        "once back, 99% know after",
+        "once back, the configuration is in force after",
+    )
     return _table(head, rows)
 
 
--- a/ponddoor/capacity/plot.py
+++ b/ponddoor/capacity/plot.py
@@ -159,8 +159,15 @@
             if crossing is not None and crossing > one.series.sizes[0]:
                 axis.plot([crossing], [most], "x", color="red", markersize=8)
     axis.axhline(most, color="red", lw=1.0)
-    axis.text(0.01, most, "limit" if first.limit.stated else "limit (ours)", color="red", fontsize=7,
-              va="bottom", transform=axis.get_yaxis_transform())  # fmt: skip
+    axis.text(
+        0.01,
+        most,
+        "limit" if first.limit.stated else "limit (ours)",
+        color="red",
+        fontsize=7,
+        va="bottom",
+        transform=axis.get_yaxis_transform(),
+    )
     for size in dict.fromkeys(one.size for one in several):
         axis.axvline(size, color="grey", lw=0.8, ls=":")
     least = min((p.figure for one in chosen if one.series for p in one.series.points), default=0)
--- a/ponddoor/capacity/sockets_measure.py
+++ b/ponddoor/capacity/sockets_measure.py
@@ -195,9 +195,16 @@
             before, at = cpu_seconds(process.pid), time.monotonic()
             pool = Pool("127.0.0.1", port, 4, 5.0)
             for number in range(CHANGES):  # servers of new starts: each is listed once, a little late
-                entry = {"server": 1000 + number, "address": f"127.0.0.1:{20_000 + number}", "zone": "here",
-                         "kind": "box", "cell": number % BOXES, "state": "ready", "weight": 1.0,
-                         "started_us": 0}  # fmt: skip
+                entry = {
+                    "server": 1000 + number,
+                    "address": f"127.0.0.1:{20_000 + number}",
+                    "zone": "here",
+                    "kind": "box",
+                    "cell": number % BOXES,
+                    "state": "ready",
+                    "weight": 1.0,
+                    "started_us": 0,
+                }
                 await pool.request("POST", "/register", {"entry": entry, "asked_kb": 0.0}, 5.0)
                 await asyncio.sleep(max(0.0, at + (number + 1) * SECONDS / 2 / CHANGES - time.monotonic()))
             # They are silent then, and listed as gone
@@ -340,8 +347,14 @@
         "servers", (5, 10, 20, 40, 80), ("held",), "sockets", boxes, 500, 2_000_000, descriptors=10
     ),
     "viewers": Measurement(
-        "connections", (1000, 3000, 6000, 12_000, 18_000), ("idle", "delivering", "following"), "sockets",
-        viewers, 20_000, 100_000, descriptors=1,
+        "connections",
+        (1000, 3000, 6000, 12_000, 18_000),
+        ("idle", "delivering", "following"),
+        "sockets",
+        viewers,
+        20_000,
+        100_000,
+        descriptors=1,
     ),
     "watchers": Measurement(
         "fronts", (20, 50, 100, 200, 400, 820), ("roll",), "sockets", watchers, 5000, 200_000, descriptors=1
@@ -349,4 +362,4 @@
     "signs": Measurement(
         "fronts", (20, 50, 100, 200, 400, 820), ("held",), "sockets", signs, 5000, 200_000, descriptors=1
     ),
-}  # fmt: skip
+}
--- a/ponddoor/cli.py
+++ b/ponddoor/cli.py
@@ -200,8 +200,12 @@
 @click.option("--seed", type=int, default=1)
 @click.option("--warm", is_flag=True, help="It has run for long.")
 @click.option("--work-ms", type=float, help="Every set-up takes so long.")
-@click.option("--part", type=click.FloatRange(0, 1, min_open=True), default=1.0,
-              help="Of what it bears, the part that is for who asks here.")  # fmt: skip
+@click.option(
+    "--part",
+    type=click.FloatRange(0, 1, min_open=True),
+    default=1.0,
+    help="Of what it bears, the part that is for who asks here.",
+)
 def media(
     site: Path,
     record: Path | None,
@@ -358,10 +362,14 @@
 @click.option("--json", "as_json", is_flag=True, help="The result as JSON.")
 @click.option("--fronts", type=click.IntRange(1, 300), help="So many fronts, whatever the day says.")
 @click.option("--hollow", type=click.IntRange(0, 2000), help="So many hollow fronts, whatever the day says.")
-@click.option("--each", type=click.FloatRange(0, 1000, min_open=True),
-              help="So many viewers a second at every front, whatever the day says.")  # fmt: skip
 @click.option(
-    "--records", type=click.Path(dir_okay=False, path_type=Path),
+    "--each",
+    type=click.FloatRange(0, 1000, min_open=True),
+    help="So many viewers a second at every front, whatever the day says.",
+)
+@click.option(
+    "--records",
+    type=click.Path(dir_okay=False, path_type=Path),
     help="Add a day's figures of hollow fronts and of the configuration to this file.",
 )
 @click.option(
@@ -536,18 +544,24 @@
         )
         for front, row in view["fronts"].items():
             if row["stands"] != "alive":
-                click.echo(f"  front {front} {row['stands']}, accused by {row['accused_by']}, "
-                           f"heard {row['heard_ms_ago']} ms ago")  # fmt: skip
+                click.echo(
+                    f"  front {front} {row['stands']}, accused by {row['accused_by']}, "
+                    f"heard {row['heard_ms_ago']} ms ago"
+                )
         for group, row in view["groups"].items():
             whole = "whole" if row["whole"] else "not whole"
-            click.echo(f"  group {group}: kept by {row['keepers']}, {whole} here, "
-                       f"{row['lent_to_us']} parts lent to it")  # fmt: skip
+            click.echo(
+                f"  group {group}: kept by {row['keepers']}, {whole} here, "
+                f"{row['lent_to_us']} parts lent to it"
+            )
         for server, row in view["servers"].items():
             asked = row["asked_by_others"]
             bad = f", {row['against']} fronts against, {row['failed']} of {row['tries']} tries failed"
             bounds = f"{asked['least']:g} to {asked['most']:g}, {asked['oldest_ms']} ms old"
-            click.echo(f"  server {server}: others ask {asked['likely']:g} kB/s ({bounds})"
-                       f"{bad if row['tries'] else ''}")  # fmt: skip
+            click.echo(
+                f"  server {server}: others ask {asked['likely']:g} kB/s ({bounds})"
+                f"{bad if row['tries'] else ''}"
+            )
     found = differences(views[0], views[1]) if len(views) > 1 else []
     for line in found:
         click.echo(line)
@@ -749,8 +763,13 @@
 
     held = usable(lambda: load_site(site))
     titles = sorted(held.titles.listed) or ["title"]
-    made = Generator([place.viewers for place in held.fronts], list(held.group_names()), titles,
-                     [tenant.name for tenant in held.facts.tenants], seed=seed)  # fmt: skip
+    made = Generator(
+        [place.viewers for place in held.fronts],
+        list(held.group_names()),
+        titles,
+        [tenant.name for tenant in held.facts.tenants],
+        seed=seed,
+    )
     click.echo(shown(asyncio.run(made.open_loop(rate, seconds)).as_dict(), as_json))
 
 
--- a/ponddoor/config/api.py
+++ b/ponddoor/config/api.py
@@ -96,8 +96,9 @@
 class ProblemError(Exception):
     """A request that is answered with problem details."""
 
-    def __init__(self, status: int, why: str, detail: str = "", headers: tuple[tuple[str, str], ...] = (),
-                 **more: Any) -> None:  # fmt: skip
+    def __init__(
+        self, status: int, why: str, detail: str = "", headers: tuple[tuple[str, str], ...] = (), **more: Any
+    ) -> None:
         super().__init__(detail or why)
         self.status, self.why, self.detail, self.headers, self.more = status, why, detail, headers, more
 
@@ -291,8 +292,11 @@
 
     async def _file(self, request: Request) -> Reply:
         machine = self.machine  # text, version and digest are of one moment: nothing is awaited between them
-        headers = (("Content-Type", "text/plain; charset=utf-8"), ("ETag", _tag(machine.number)),
-                   ("Config-Digest", machine.digest))  # fmt: skip
+        headers = (
+            ("Content-Type", "text/plain; charset=utf-8"),
+            ("ETag", _tag(machine.number)),
+            ("Config-Digest", machine.digest),
+        )
         if self._whole[0] != (machine.number, machine.digest):  # made once for all who ask
             text = shown(machine.items, machine.forms).encode()
             self._whole = ((machine.number, machine.digest), text)
@@ -401,7 +405,10 @@
     async def _change_members(self, request: Request, body: MemberChange) -> Reply:
         held = self.member.raft.members
         made: dict[str, Callable[[Members, Member], Members]] = {
-            "learner": with_learner, "voter": as_voter, "remove": without}  # fmt: skip
+            "learner": with_learner,
+            "voter": as_voter,
+            "remove": without,
+        }
         if body.what not in made:
             raise ProblemError(422, "malformed", f"{body.what[:50]}: one of {', '.join(made)}")
         try:
@@ -530,9 +537,15 @@
         since = (now - self._since[1]) // 1000 if self._since[0] == machine.number and machine.number else -1
         more = numbers[limit - 1] if len(numbers) > limit else None
         told = Told(
-            self.member.identity.me, machine.number, machine.digest, since, self.member.apart, rows, more,
+            self.member.identity.me,
+            machine.number,
+            machine.digest,
+            since,
+            self.member.apart,
+            rows,
+            more,
             {**self.reports.counts, "dropped-watchers": self.dropped_watchers},
-        )  # fmt: skip
+        )
         return Reply(200, told)
 
     def _front(self, number: int, now: int) -> Row:
@@ -541,8 +554,13 @@
 
 
 def _row(version: Version) -> dict[str, Any]:
-    return {"version": version.number, "who": version.who, "why": version.why, "when_us": version.when_us,
-            "keys": [step.key for step in version.steps]}  # fmt: skip
+    return {
+        "version": version.number,
+        "who": version.who,
+        "why": version.why,
+        "when_us": version.when_us,
+        "keys": [step.key for step in version.steps],
+    }
 
 
 def _tag(version: int) -> str:
--- a/ponddoor/config/commands.py
+++ b/ponddoor/config/commands.py
@@ -106,8 +106,9 @@
     sys.exit(2 if answer.status == 422 else 1)
 
 
-CLUSTER = click.option("--cluster", required=True, type=click.Path(dir_okay=False, path_type=Path),
-                       help="The cluster file.")  # fmt: skip
+CLUSTER = click.option(
+    "--cluster", required=True, type=click.Path(dir_okay=False, path_type=Path), help="The cluster file."
+)
 JSON = click.option("--json", "as_json", is_flag=True)
 WHO = click.option("--who", default=getpass.getuser, help="Who changes it; the user's name if left out.")
 WHY = click.option("--why", required=True, help="Kept with the version.")
@@ -402,8 +403,13 @@
     if soft == resource.RLIM_INFINITY or soft >= CONNECTIONS + BESIDE:
         return CONNECTIONS
     found = max(soft - BESIDE, BESIDE)
-    log.warning("few-descriptors", at_hand=soft, wanted=CONNECTIONS + BESIDE, connections=found,
-                fronts=min(MOST_WATCHERS, found // 2))  # fmt: skip
+    log.warning(
+        "few-descriptors",
+        at_hand=soft,
+        wanted=CONNECTIONS + BESIDE,
+        connections=found,
+        fronts=min(MOST_WATCHERS, found // 2),
+    )
     return found
 
 
--- a/ponddoor/config/followers.py
+++ b/ponddoor/config/followers.py
@@ -120,9 +120,15 @@
 def _told(machine: Machine) -> Committed:
     """As the administration API tells it."""
     version = machine.history[-1]
-    row = {"version": version.number, "who": version.who, "why": version.why, "when_us": version.when_us,
-           "keys": [step.key for step in version.steps], "steps": version.steps,
-           "digest": version.digest}  # fmt: skip
+    row = {
+        "version": version.number,
+        "who": version.who,
+        "why": version.why,
+        "when_us": version.when_us,
+        "keys": [step.key for step in version.steps],
+        "steps": version.steps,
+        "digest": version.digest,
+    }
     whole = _canonical(assembled(machine.items))
     return Committed(version.number, msgspec.json.encode(row), shown(machine.items), version.digest, whole)
 
@@ -759,9 +765,14 @@
         number = front.number
         wall = self._wall(front)
         front.follower = self.make(
-            number, len(self.fronts), INSTANCES, self.rng.getrandbits(32), 3 * SECOND, Path(),
+            number,
+            len(self.fronts),
+            INSTANCES,
+            self.rng.getrandbits(32),
+            3 * SECOND,
+            Path(),
             lambda site: unusable(number, site, front.serving),
-        )  # fmt: skip
+        )
         effects = front.follower.begin(self.now, wall, front.disk)
         front.last_life = front.follower.life
         self._carry_out(front, effects)
--- a/ponddoor/config/machine.py
+++ b/ponddoor/config/machine.py
@@ -31,8 +31,13 @@
 from ponddoor.settings.site import Site, check
 
 # Forms whose parts are items of their own, and the heads of those parts
-NESTED = {"groups": "group", "titles": "title", "fronts": "front", "entitlements": "entitlement",
-          "tenants": "tenant"}  # fmt: skip
+NESTED = {
+    "groups": "group",
+    "titles": "title",
+    "fronts": "front",
+    "entitlements": "entitlement",
+    "tenants": "tenant",
+}
 MOST_KEYS = 20_000
 MOST_TEXT = 200_000  # characters of one item
 MOST_WHOLE = MOST_BYTES - 100_000  # characters of all items: as a site file it is a little longer
@@ -272,8 +277,14 @@
             forms = {key: form_of(key, item.text) for key, item in items.items()}
             whole = assembled(items, forms) if items else None
             site = check([whole], "<configuration>", self.folder) if whole is not None else None
-        except (msgspec.MsgspecError, KeyError, TypeError, ValueError, SettingsError,
-                MalformedError) as problem:  # fmt: skip
+        except (
+            msgspec.MsgspecError,
+            KeyError,
+            TypeError,
+            ValueError,
+            SettingsError,
+            MalformedError,
+        ) as problem:
             raise MalformedError(f"a snapshot that can't be read: {problem}") from None
         self.number, self.items, self.forms, self.site = int(raw["number"]), items, forms, site
         self.digest = digest_of(whole) if whole is not None else ""
--- a/ponddoor/decide.py
+++ b/ponddoor/decide.py
@@ -34,38 +34,38 @@
 from ponddoor.state import LONG_AGO, Arrivals, Chance, Pipe, Server, Sess, Standing
 
 SECOND = 1_000_000
-HEADROOM = 0.04           # of a link or uplink, left for true rates above the ladder and for others' raises
-RESIZE_EVERY = 5          # start targets
-ARRIVALS = 60             # of which the moments are kept
-PAYS = 1.5                # a change of rung must earn its cost so many times over
-LENGTHS = 60              # ended sessions, after which what was learned of their lengths counts half
+HEADROOM = 0.04  # of a link or uplink, left for true rates above the ladder and for others' raises
+RESIZE_EVERY = 5  # start targets
+ARRIVALS = 60  # of which the moments are kept
+PAYS = 1.5  # a change of rung must earn its cost so many times over
+LENGTHS = 60  # ended sessions, after which what was learned of their lengths counts half
 REPORT_AGE = SECOND // 3  # how old a report is taken to be when it comes
-STEADY = 0.7              # of the most known around a report, that must have been known all the time
-MISSING = 4 * SECOND      # without a report for so long, short-delivery notes stand in
-PROBE_POINTS = 0.01       # of service, that probing may cost
-NEAR = 0.5                # of the most idle, with which a holder of the own zone is taken
-REGAIN = 0.02             # of an uplink seen short, that is tried again each second
-LEAST = 0.25              # of a told uplink, that a shortage can leave
-TELL_EVERY = 2            # start targets
-ALL_EVERY = 16            # so many tellings, all is told and not only what changed
-FEW = 3                   # so many fronts all keep the whole account; of more, each part of it has KEEPERS
+STEADY = 0.7  # of the most known around a report, that must have been known all the time
+MISSING = 4 * SECOND  # without a report for so long, short-delivery notes stand in
+PROBE_POINTS = 0.01  # of service, that probing may cost
+NEAR = 0.5  # of the most idle, with which a holder of the own zone is taken
+REGAIN = 0.02  # of an uplink seen short, that is tried again each second
+LEAST = 0.25  # of a told uplink, that a shortage can leave
+TELL_EVERY = 2  # start targets
+ALL_EVERY = 16  # so many tellings, all is told and not only what changed
+FEW = 3  # so many fronts all keep the whole account; of more, each part of it has KEEPERS
 KEEPERS = 3
-BEARS = 50                # arrivals a second, one a front in each start target, that a part is made for
-KNOWN, REACH = 0.6, 0.4   # of the fleet, that has told us and that answers: the account is whole
-ASKED = 3                 # parts of the account that are asked about for an arrival
-ASK_WAIT = SECOND // 12   # how long an answer of a keeper or a probe is waited for
-SILENT = 4                # tellings, after which a front that does not answer is dead, at the soonest
+BEARS = 50  # arrivals a second, one a front in each start target, that a part is made for
+KNOWN, REACH = 0.6, 0.4  # of the fleet, that has told us and that answers: the account is whole
+ASKED = 3  # parts of the account that are asked about for an arrival
+ASK_WAIT = SECOND // 12  # how long an answer of a keeper or a probe is waited for
+SILENT = 4  # tellings, after which a front that does not answer is dead, at the soonest
 PARTS = (0.5, 0.34, 0.25)  # of a holder's idle an arrival takes: all is known, a report came, a guess
-COLD_USE = 0.4            # of a cold server's pace, that the fronts expect to use together
-CROWD = 4                 # arrivals that may meet at a holder before the account knows
-MEANS_AGE = 8 * SECOND     # how long a player's word on what it can take counts
-TAKES = 0.9               # of the throughput that a player measured, that a rung may use
-REST = SECOND             # a failing server's first rest; doubled with each further failure
-LONGEST = 3               # so often
-MOST_COMPARED = 64        # holders of a title that are all looked at, and links of a rack that are all summed
+COLD_USE = 0.4  # of a cold server's pace, that the fronts expect to use together
+CROWD = 4  # arrivals that may meet at a holder before the account knows
+MEANS_AGE = 8 * SECOND  # how long a player's word on what it can take counts
+TAKES = 0.9  # of the throughput that a player measured, that a rung may use
+REST = SECOND  # a failing server's first rest; doubled with each further failure
+LONGEST = 3  # so often
+MOST_COMPARED = 64  # holders of a title that are all looked at, and links of a rack that are all summed
 DRAWN, DRAWN_IN_USE = 32, 8  # of more holders, those drawn by chance, and those drawn where we play
 ROLL_EVERY = SECOND // 100  # some links of a large rack are reckoned anew, so often at most
-AGAINST = 2               # fronts whose word it takes to avoid a server that we know nothing bad of
+AGAINST = 2  # fronts whose word it takes to avoid a server that we know nothing bad of
 NEVER_RAN = (Result.FULL, Result.CONNECT_FAILED, Result.MOOT)
 
 
@@ -77,11 +77,11 @@
         self.racks = [Pipe(facts.plant.uplink_kb) for _ in range(facts.plant.racks or 1)]
         self.sessions: dict[int, Sess] = {}
         self.seats: dict[tuple[int, int], int] = {}
-        self.played, self.over = 0, 0               # how long sessions played in all, and how many ended
-        self.lags: list[int] = []                   # how long the last set-ups took
+        self.played, self.over = 0, 0  # how long sessions played in all, and how many ended
+        self.lags: list[int] = []  # how long the last set-ups took
         self.arrivals = Arrivals(ARRIVALS)
-        self.taken: list[int] = []                  # requests within the budget's span
-        self.resent: list[int] = []                 # further SETUPs within it
+        self.taken: list[int] = []  # requests within the budget's span
+        self.resent: list[int] = []  # further SETUPs within it
         self.watching, self.reckoned, self.usual_load = False, LONG_AGO, 0.0
         target = min((group.start_target for group in facts.groups), default=SECOND)
         self.resize_every, self.tell_every = RESIZE_EVERY * target, TELL_EVERY * target
@@ -222,9 +222,13 @@
             server.lost = self.now
         if event.result is Result.FULL and self.facts.plant.refuse_at:
             self.load(server, self.now, max(self.facts.plant.refuse_at, 1.0))
-        elif event.result is Result.ERROR and (blamed := [self.servers[at] for at, _, end in sess.attempts
-                                                          if end is Result.ERROR and at != event.server
-                                                          and at in self.servers]):
+        elif event.result is Result.ERROR and (
+            blamed := [
+                self.servers[at]
+                for at, _, end in sess.attempts
+                if end is Result.ERROR and at != event.server and at in self.servers
+            ]
+        ):
             for other in blamed:  # guards against a request that no server can use: two say so, none rests
                 bad = [i for i, (_, well) in enumerate(other.ends) if not well]
                 other.ends = [end for i, end in enumerate(other.ends) if i not in bad[-1:]]
@@ -270,16 +274,23 @@
         if mild >= 0.98 or len(server.notes) < 2:
             return
         rack = self.rack(server)
-        if ("uplink_asked" in self.facts.report_fields and self.fresh(rack) and rack.loads[-1][1] >= 0.97
-                and server.reported < min(rack.loads[-1][1], 0.97)):
+        if (
+            "uplink_asked" in self.facts.report_fields
+            and self.fresh(rack)
+            and rack.loads[-1][1] >= 0.97
+            and server.reported < min(rack.loads[-1][1], 0.97)
+        ):
             rack.load(taken, max(1 / max(mild, 0.1), rack.loads[-1][1]))
             return
         mates = self.mates(server)
         if len(mates) > MOST_COMPARED:  # of a large rack those where we play tell enough
             mates = [m for m in self.table.in_use() if self.rack(m) is rack][:MOST_COMPARED]
         played = [m for m in mates if m.sessions or self.fleet.counts.likely(m.row.server)]
-        short = [m.notes[-1][1] for m in played
-                 if m.notes and m.notes[-1][1] < 0.98 and m.notes[-1][0] > taken - 2 * SECOND]
+        short = [
+            m.notes[-1][1]
+            for m in played
+            if m.notes and m.notes[-1][1] < 0.98 and m.notes[-1][0] > taken - 2 * SECOND
+        ]
         full = sum(m.link.loads[-1][1] >= 0.99 for m in played if self.fresh(m.link))
         if len(short) < 2 or 2 * len(short) <= len(played) or 2 * full > len(played):
             self.load(server, taken, 1 / max(mild, 0.1))
@@ -331,8 +342,11 @@
         server.link.known = [*server.link.known[-39:], (self.now, asked)]
         self.reckon_anew(server)
         rack, mates = self.rack(server), self.mates(server)
-        in_all = (sum(s.link.known[-1][1] for s in mates) if len(mates) <= MOST_COMPARED
-                  else rack.known[-1][1] + (asked - before if self.running_rack(server) is not None else 0.0))
+        in_all = (
+            sum(s.link.known[-1][1] for s in mates)
+            if len(mates) <= MOST_COMPARED
+            else rack.known[-1][1] + (asked - before if self.running_rack(server) is not None else 0.0)
+        )
         rack.known = [*rack.known[-99:], (self.now, in_all)]
 
     def rebook(self, number: int) -> None:
@@ -422,7 +436,7 @@
         if self.now - held.at >= ROLL_EVERY:
             held.at, mates = self.now, self.by_rack[number]
             held.turn = (held.turn + DRAWN) % len(mates)
-            changed.update(s.row.server for s in mates[held.turn:held.turn + DRAWN])
+            changed.update(s.row.server for s in mates[held.turn : held.turn + DRAWN])
         for at in sorted(changed):
             server = self.servers.get(at)
             gone = server is None or server.row.state is ServerState.GONE
@@ -465,10 +479,17 @@
         link, cold, least = server.link, self.facts.rules.cold, self.facts.rules.cold_from
         # Guards against a link believed wide as reports stop at full: near full they prove no more than told
         stops = math.inf if "link_asked" in self.facts.report_fields else 0.9
-        seen = sorted(min(link.known_at(taken) / ratio, math.inf if ratio < stops else link.kb)
-                      for taken, ratio in link.loads
-                      if ratio > 0.25 and taken > self.fleet.whole_since[self.group(server)]
-                      and self.steady(link, taken)) if self.whole(server) else []
+        seen = (
+            sorted(
+                min(link.known_at(taken) / ratio, math.inf if ratio < stops else link.kb)
+                for taken, ratio in link.loads
+                if ratio > 0.25
+                and taken > self.fleet.whole_since[self.group(server)]
+                and self.steady(link, taken)
+            )
+            if self.whole(server)
+            else []
+        )
         if seen:
             return min(max(seen[len(seen) // 2], link.kb * 0.1), link.kb * 1.6)
         return link.kb * min(1.0, least + (1 - least) * (self.now - server.started()) / cold)
@@ -497,8 +518,11 @@
         """The design's loop: all at the lowest rung, then a step for whoever gains most utility per rate."""
         rungs = [sess.group.floor for sess in sessions]  # also of who can use less: the terms come first
         budget -= sum(sess.rate(rung) for sess, rung in zip(sessions, rungs, strict=True))
-        steps = [(-self.gain(sess, rung + 1), i)
-                 for i, (sess, rung) in enumerate(zip(sessions, rungs, strict=True)) if rung < caps[i]]
+        steps = [
+            (-self.gain(sess, rung + 1), i)
+            for i, (sess, rung) in enumerate(zip(sessions, rungs, strict=True))
+            if rung < caps[i]
+        ]
         heapq.heapify(steps)
         while steps:
             _, i = heapq.heappop(steps)
@@ -538,10 +562,13 @@
         if not open_now:
             return None
         fit = [s for s in open_now if self.rested_until(s) <= self.now]
-        fit = ([s for s in fit if all(s.row.server != at for at, _, _ in sess.attempts)] or fit
-               or [min(open_now, key=lambda s: (self.rested_until(s), s.row.server))])
+        fit = (
+            [s for s in fit if all(s.row.server != at for at, _, _ in sess.attempts)]
+            or fit
+            or [min(open_now, key=lambda s: (self.rested_until(s), s.row.server))]
+        )
         # Guards against hearsay that would leave nobody: half of a title's holders are avoided at most
-        avoided = list(filter(self.condemned, fit))[:len(open_now) // 2]
+        avoided = list(filter(self.condemned, fit))[: len(open_now) // 2]
         fit = [s for s in fit if s not in avoided] or fit
         fit = list(filter(self.hinted, fit)) or fit
         idle = self.idles(fit)
@@ -574,8 +601,11 @@
         """The holders of its title that a SETUP may go to now; without `paced`, also those that are cold."""
         if self.spent(sess) or 0 < sess.group.seats <= self.seats.get(sess.seat(), 0):
             return []
-        return [s for s in self.compared(sess.req.home, sess.req.span)
-                if self.may_repeat(sess, s) and not (paced and self.paced_until(s) > self.now)]
+        return [
+            s
+            for s in self.compared(sess.req.home, sess.req.span)
+            if self.may_repeat(sess, s) and not (paced and self.paced_until(s) > self.now)
+        ]
 
     def compared(self, home: int, span: int) -> list[Server]:
         """The holders of a title or, of very many, some by chance and some of those where we play.
@@ -586,8 +616,11 @@
         if count <= MOST_COMPARED:
             return self.table.holders(home, span)
         drawn = self.table.holders_at(home, span, (self.chance.draw(count) for _ in range(DRAWN)))
-        ours = [s for s in self.table.in_use()
-                if s.row.state is ServerState.READY and holds(s.row.cell, home, span)]
+        ours = [
+            s
+            for s in self.table.in_use()
+            if s.row.state is ServerState.READY and holds(s.row.cell, home, span)
+        ]
         first = self.chance.draw(max(len(ours), 1))
         some = (ours[first:] + ours[:first])[:DRAWN_IN_USE]
         return sorted({s.row.server: s for s in (*drawn, *some)}.values(), key=lambda s: s.order)
@@ -605,16 +638,25 @@
         """Unsafe: only after proof that nothing ran. Keyed: only where and while the key is remembered."""
         if not sess.attempts or sess.group.effect is Effect.SAFE:
             return True
-        ran = [(self.servers[at].row, sent) for at, sent, end in sess.attempts
-               if end not in NEVER_RAN and at in self.servers]
+        ran = [
+            (self.servers[at].row, sent)
+            for at, sent, end in sess.attempts
+            if end not in NEVER_RAN and at in self.servers
+        ]
         if all(end in NEVER_RAN for _, _, end in sess.attempts):
             return True
         if len(ran) < sum(end not in NEVER_RAN for _, _, end in sess.attempts):
             return False  # a server where it may have run is forgotten
-        same = {Scope.ALL: True, Scope.ZONE: all(row.zone == server.row.zone for row, _ in ran),
-                Scope.CELL: all(row.cell == server.row.cell for row, _ in ran)}[sess.group.scope]
-        return (sess.group.effect is Effect.KEYED and same
-                and all(self.now < sent + sess.group.memory for _, sent in ran))
+        same = {
+            Scope.ALL: True,
+            Scope.ZONE: all(row.zone == server.row.zone for row, _ in ran),
+            Scope.CELL: all(row.cell == server.row.cell for row, _ in ran),
+        }[sess.group.scope]
+        return (
+            sess.group.effect is Effect.KEYED
+            and same
+            and all(self.now < sent + sess.group.memory for _, sent in ran)
+        )
 
     def paced_until(self, server: Server) -> int:
         """When this front may next send to a server that is cold, or may be.
@@ -658,21 +700,29 @@
     def wanted_rate(self, server: Server) -> float:
         """Arrivals a second that could go to a server: by ten seconds, or by one where that has more."""
         place = server.row.cell, self.facts.plant.cells
-        return max(self.arrivals.rate(self.now, 10 * SECOND, place),
-                   self.arrivals.lately(self.now, SECOND, place) - 1)
+        return max(
+            self.arrivals.rate(self.now, 10 * SECOND, place),
+            self.arrivals.lately(self.now, SECOND, place) - 1,
+        )
 
     def warm(self, server: Server) -> bool:
         """Whether somebody has a session there that began before the server could be cold: we, a front that
         told us, or one that told a hub. A process that dies resets its connections, so who has one knows."""
-        return (server.warm_at > self.now - self.tell_every or self.old(server)
-                or self.fleet.counts.flagged(server.row.server))
+        return (
+            server.warm_at > self.now - self.tell_every
+            or self.old(server)
+            or self.fleet.counts.flagged(server.row.server)
+        )
 
     def old(self, server: Server) -> bool:
         return server.old(self.now - self.facts.rules.cold)
 
     def may_refuse(self, sess: Sess) -> bool:
-        return (all(end in NEVER_RAN for _, _, end in sess.attempts) or sess.group.effect is Effect.SAFE
-                or (sess.group.effect, sess.group.scope) == (Effect.KEYED, Scope.ALL))
+        return (
+            all(end in NEVER_RAN for _, _, end in sess.attempts)
+            or sess.group.effect is Effect.SAFE
+            or (sess.group.effect, sess.group.scope) == (Effect.KEYED, Scope.ALL)
+        )
 
     def open(self, req: ev.SessionRequest) -> Sess:
         group = self.facts.groups[req.service_group]
@@ -771,10 +821,14 @@
             self.sessions.pop(sess.req.req_id, None)
 
     def upkeep(self) -> Iterable[Script]:
-        wanted = [(True, self.resizing()), (self.facts.asked_discovery, self.watch()),
-                  (self.told_by_probes, self.probing()), (self.fleet.asks, self.answering()),
-                  (self.fleet.talks, self.fleet.talking(self.rebook, self.rates)),
-                  (self.fleet.talks, self.telling())]
+        wanted = [
+            (True, self.resizing()),
+            (self.facts.asked_discovery, self.watch()),
+            (self.told_by_probes, self.probing()),
+            (self.fleet.asks, self.answering()),
+            (self.fleet.talks, self.fleet.talking(self.rebook, self.rates)),
+            (self.fleet.talks, self.telling()),
+        ]
         return [script for want, script in wanted if want]
 
     def resizing(self) -> Script:
@@ -860,8 +914,12 @@
         if self.table.holder_count(home, span) > MOST_COMPARED:
             return [s for s in self.compared(home, span) if self.whole(s)]
         holds, racks = self.facts.plant.holds, self.facts.plant.racks_of(home, span)
-        return [s for rack in racks for s in self.by_rack[rack] if holds(s.row.cell, home, span)
-                and self.whole(s) and s.row.state is ServerState.READY]
+        return [
+            s
+            for rack in racks
+            for s in self.by_rack[rack]
+            if holds(s.row.cell, home, span) and self.whole(s) and s.row.state is ServerState.READY
+        ]
 
     def answering(self) -> Script:
         """A keeper's answers: the best holders, the asker's zone first, and the best cold ones."""
@@ -871,8 +929,13 @@
             match got, word:
                 case ev.PeerMessage(), words.AskOurs(number):
                     theirs = self.fleet.counts.told(got.peer)
-                    about = [s for at in theirs if (s := self.servers.get(at)) and self.whole(s)
-                             and s.row.state is not ServerState.GONE]
+                    about = [
+                        s
+                        for at in theirs
+                        if (s := self.servers.get(at))
+                        and self.whole(s)
+                        and s.row.state is not ServerState.GONE
+                    ]
                     idle, granted = self.idles(about, 1.0), None
                 case ev.PeerMessage(), words.AskHolders(number, home, span, zone):
                     about = self.holders_kept(home, span)
@@ -885,8 +948,12 @@
                     continue
             if not any(self.fleet.whole(group) for group in self.fleet.groups):
                 continue  # we know no better than who asks
-            rooms = [self.fleet.room(got.peer, s.row.server, idle[s.row.server], self.asked(s), self.warm(s),
-                                     s is granted) for s in about]
+            rooms = [
+                self.fleet.room(
+                    got.peer, s.row.server, idle[s.row.server], self.asked(s), self.warm(s), s is granted
+                )
+                for s in about
+            ]
             yield from self.fleet.answer(got.peer, number, rooms, isinstance(word, words.AskOurs))
 
     def may_grant(self, server: Server, peer: int) -> bool:
@@ -900,8 +967,9 @@
             server.tried = self.now if rested else server.tried
             return rested
         slot, budget = self.slot(server), server.row.server
-        return self.cold(server) and self.fleet.shares.grant(self.now, self.group(server), budget, slot,
-                                                             self.burst(slot))
+        return self.cold(server) and self.fleet.shares.grant(
+            self.now, self.group(server), budget, slot, self.burst(slot)
+        )
 
     def probing(self) -> Script:
         """Probe in turn, as often as the price allows; messages share the work among fronts."""
@@ -915,26 +983,39 @@
             worth = PROBE_POINTS / max(self.facts.prices.probe, PROBE_POINTS / 4)
             # Guards against a wait reckoned before anybody came: it is reckoned anew each second
             probed = self.now
-            while (due := probed + max(SECOND // 10, int(
-                    SECOND / (self.arrivals.rate(self.now, 30 * SECOND) * worth)))) > self.now:
+            while (
+                due := probed
+                + max(SECOND // 10, int(SECOND / (self.arrivals.rate(self.now, 30 * SECOND) * worth)))
+            ) > self.now:
                 yield act.Wait(min(due, self.now + SECOND))
 
     def tell(self, servers: list[Server]) -> Script:
         """Our rates at these, and what came to us of them since, to the keepers of each."""
-        rates = [(self.group(s), s.said_now(self.now, self.now - (REST << LONGEST), self.old(s)))
-                 for s in servers if self.fleet.talks]
+        rates = [
+            (self.group(s), s.said_now(self.now, self.now - (REST << LONGEST), self.old(s)))
+            for s in servers
+            if self.fleet.talks
+        ]
         yield from self.fleet.tell(rates)
 
     def rates(self, keeper: int) -> list[words.Rate]:
-        return [words.Rate(s.row.server, s.own(), warm=self.old(s)) for s in self.table.in_use()
-                if keeper in self.fleet.others(self.group(s))]
+        return [
+            words.Rate(s.row.server, s.own(), warm=self.old(s))
+            for s in self.table.in_use()
+            if keeper in self.fleet.others(self.group(s))
+        ]
 
     def telling(self) -> Script:
         yield act.Wait(self.now + SECOND // 10)  # the sessions handed over are in by then
         for turn in itertools.count():
             yield from self.fleet.refresh(turn, ALL_EVERY, self.rates)
-            yield from self.tell([s for s in self.table.take_untold() if s.heard or s.felt or s.ended
-                                  or s.said != s.own() or s.said_warm != self.old(s)])
+            yield from self.tell(
+                [
+                    s
+                    for s in self.table.take_untold()
+                    if s.heard or s.felt or s.ended or s.said != s.own() or s.said_warm != self.old(s)
+                ]
+            )
             cold = self.table.cold(self.now, self.facts.rules.cold)
             yield from self.fleet.lend(sorted({self.group(s) for s in cold}))
             yield act.Wait(self.now + self.tell_every)
--- a/ponddoor/fleet/counts.py
+++ b/ponddoor/fleet/counts.py
@@ -55,8 +55,15 @@
         self._holders: dict[int, dict[int, Cell]] = {}
         self.refused = 0
 
-    def tell(self, now: int, front: int, life: int, stamp: int, whole: bool,
-             rows: Iterable[tuple[int, float, bool]]) -> set[int]:  # fmt: skip
+    def tell(
+        self,
+        now: int,
+        front: int,
+        life: int,
+        stamp: int,
+        whole: bool,
+        rows: Iterable[tuple[int, float, bool]],
+    ) -> set[int]:
         """A front's own word. Returns the keys of which the likely figure may have changed."""
         origin = self.origins.setdefault(front, Origin())
         if life < origin.life:
--- a/ponddoor/fleet/explore.py
+++ b/ponddoor/fleet/explore.py
@@ -30,11 +30,13 @@
 
     def key(self) -> str:
         """What tells two states apart."""
-        lenders = [(n, one.number, list(one.asked.items()), one.until) for n, one in
-                   self.keeper._lenders.items()]  # fmt: skip
+        lenders = [
+            (n, one.number, list(one.asked.items()), one.until) for n, one in self.keeper._lenders.items()
+        ]
         owner = (self.owner._silent_until, self.owner._lent)
-        return repr((self.now, self.life, owner, lenders, sorted(self.flying), self.crashes, self.losses,
-                     self.asked))  # fmt: skip
+        return repr(
+            (self.now, self.life, owner, lenders, sorted(self.flying), self.crashes, self.losses, self.asked)
+        )
 
 
 def steps(state: State, make: type[Shares]) -> list[State]:
--- a/ponddoor/fleet/mutants.py
+++ b/ponddoor/fleet/mutants.py
@@ -63,8 +63,15 @@
 class Lifeless(Counts):
     """Words of an earlier life count like any other."""
 
-    def tell(self, now: int, front: int, life: int, stamp: int, whole: bool,
-             rows: Iterable[tuple[int, float, bool]]) -> set[int]:  # fmt: skip
+    def tell(
+        self,
+        now: int,
+        front: int,
+        life: int,
+        stamp: int,
+        whole: bool,
+        rows: Iterable[tuple[int, float, bool]],
+    ) -> set[int]:
         held = self.origins.get(front)
         return super().tell(now, front, life if held is None else max(life, held.life), stamp, whole, rows)
 
@@ -72,8 +79,15 @@
 class Stampless(Counts):
     """The last word to come counts, in whatever order it was said."""
 
-    def tell(self, now: int, front: int, life: int, stamp: int, whole: bool,
-             rows: Iterable[tuple[int, float, bool]]) -> set[int]:  # fmt: skip
+    def tell(
+        self,
+        now: int,
+        front: int,
+        life: int,
+        stamp: int,
+        whole: bool,
+        rows: Iterable[tuple[int, float, bool]],
+    ) -> set[int]:
         held = self.origins.get(front)
         if held is not None and held.life == life:
             for key, _, _ in list(rows):
--- a/ponddoor/fleet/presence.py
+++ b/ponddoor/fleet/presence.py
@@ -290,8 +290,11 @@
 
     def troubled(self, most: int) -> tuple[words.Row, ...]:
         """The rows of who is suspected or dead, so many at most."""
-        rows = [words.Row(front, m.life, m.bump, min(m.by, default=self.me))
-                for front, m in self.members.items() if m.since is not None]
+        rows = [
+            words.Row(front, m.life, m.bump, min(m.by, default=self.me))
+            for front, m in self.members.items()
+            if m.since is not None
+        ]
         return tuple(rows[:most])
 
     def some(self, count: int) -> list[int]:
--- a/ponddoor/fleet/shown.py
+++ b/ponddoor/fleet/shown.py
@@ -19,27 +19,45 @@
         for front, member in presence.members.items()
     }
     groups = {
-        str(group): {"keepers": list(fleet.keepers(group)), "whole": fleet.whole(group),
-                     "lent_to_us": len(fleet.shares.lent_by(now, group)),
-                     "own_part_free": fleet.shares.own(now, group)}
+        str(group): {
+            "keepers": list(fleet.keepers(group)),
+            "whole": fleet.whole(group),
+            "lent_to_us": len(fleet.shares.lent_by(now, group)),
+            "own_part_free": fleet.shares.own(now, group),
+        }
         for group in fleet.groups
-    }  # fmt: skip
+    }
     rows: dict[str, Any] = {}
     for server in servers:
         view = fleet.evidence.view(now, server, fleet.me)
         bounds = fleet.counts.bounds(now, server, fleet.terms.timing.most)
         rows[str(server)] = {
-            "asked_by_others": {"least": bounds.least, "likely": bounds.likely, "most": bounds.most,
-                                "oldest_ms": bounds.since // 1000},
-            "against": view.against, "failed": view.failed, "tries": view.tries,
-            "failed_ms_ago": _age(now, view.failed_at), "well_ms_ago": _age(now, view.well_at),
-        }  # fmt: skip
+            "asked_by_others": {
+                "least": bounds.least,
+                "likely": bounds.likely,
+                "most": bounds.most,
+                "oldest_ms": bounds.since // 1000,
+            },
+            "against": view.against,
+            "failed": view.failed,
+            "tries": view.tries,
+            "failed_ms_ago": _age(now, view.failed_at),
+            "well_ms_ago": _age(now, view.well_at),
+        }
     return {
-        "me": fleet.me, "life": presence.life, "hears": presence.hears(now).value, "reach": presence.reach(),
-        "live": presence.live(), "quiet_keepers": sorted(fleet.quiet), "fronts": fronts, "groups": groups,
-        "servers": rows, "granted": fleet.shares.granted, "fenced": fleet.shares.fenced,
+        "me": fleet.me,
+        "life": presence.life,
+        "hears": presence.hears(now).value,
+        "reach": presence.reach(),
+        "live": presence.live(),
+        "quiet_keepers": sorted(fleet.quiet),
+        "fronts": fronts,
+        "groups": groups,
+        "servers": rows,
+        "granted": fleet.shares.granted,
+        "fenced": fleet.shares.fenced,
         "words_refused": fleet.counts.refused,
-    }  # fmt: skip
+    }
 
 
 def differences(one: dict[str, Any], other: dict[str, Any]) -> list[str]:
--- a/ponddoor/fleet/simulation.py
+++ b/ponddoor/fleet/simulation.py
@@ -27,9 +27,15 @@
 PERIOD = SECOND // 2
 WAIT = SECOND // 12
 TERMS = Terms(
-    keepers=2, few=2, timing=Timing(PERIOD, WAIT, 4 * PERIOD, 8 * PERIOD), evidence=8 * SECOND,
-    lease=4 * PERIOD, known=0.6, reach=0.4, gives=2,
-)  # fmt: skip
+    keepers=2,
+    few=2,
+    timing=Timing(PERIOD, WAIT, 4 * PERIOD, 8 * PERIOD),
+    evidence=8 * SECOND,
+    lease=4 * PERIOD,
+    known=0.6,
+    reach=0.4,
+    gives=2,
+)
 SERVERS = range(1, 4)
 GROUPS = 2
 SLOT = 50_000  # us: of the budget of one server
@@ -169,8 +175,11 @@
 
     def _rates(self, node: Node, keeper: int) -> list[words.Rate]:
         assert node.fleet is not None and node.asks is not None
-        return [words.Rate(server, kb) for server, kb in node.asks.items()
-                if kb and keeper in node.fleet.others(self._group(server))]  # fmt: skip
+        return [
+            words.Rate(server, kb)
+            for server, kb in node.asks.items()
+            if kb and keeper in node.fleet.others(self._group(server))
+        ]
 
     def _turn(self, node: Node, life: int, turn: int) -> None:
         """What a front does in each period: other rates, an end of a set-up, a part lent, a question."""
@@ -203,8 +212,11 @@
         assert node.fleet is not None
         to = self.rng.choice([n for n in range(self.plan.fronts) if n != node.number])
         life = node.fleet.presence.life
-        rows = tuple(words.Row(n, self.rng.choice([1, 2**32 - 1, self._life(n)]), 255, node.number)
-                     for n in range(self.plan.fronts) if n != node.number)  # fmt: skip
+        rows = tuple(
+            words.Row(n, self.rng.choice([1, 2**32 - 1, self._life(n)]), 255, node.number)
+            for n in range(self.plan.fronts)
+            if n != node.number
+        )
         saw = tuple((server, words.Ends(15, 0)) for server in SERVERS)
         for word in (words.Ping(1, life, 0, rows[: words.ROWS]), words.News(life, (), saw)):
             self._send(node, to, words.pack(word)[0])
@@ -417,11 +429,18 @@
     """A schedule of any shape."""
     rng = Random(seed * 7919 + 5)
     return Schedule(
-        seed, fronts=rng.choice([3, 4, 5, 5, 8, 12]), seconds=rng.randint(8, 20),
-        loss=rng.choice([0, 0.1, 0.3]), double=rng.choice([0, 0.1, 0.3]), slow=rng.choice([0, 0.05, 0.2]),
-        crashes=rng.randint(0, 6), cuts=rng.randint(0, 3), pauses=rng.randint(0, 3),
-        drift=rng.choice([0, 0.01]), rogues=rng.choice([0, 0, 0, 1]),
-    )  # fmt: skip
+        seed,
+        fronts=rng.choice([3, 4, 5, 5, 8, 12]),
+        seconds=rng.randint(8, 20),
+        loss=rng.choice([0, 0.1, 0.3]),
+        double=rng.choice([0, 0.1, 0.3]),
+        slow=rng.choice([0, 0.05, 0.2]),
+        crashes=rng.randint(0, 6),
+        cuts=rng.randint(0, 3),
+        pauses=rng.randint(0, 3),
+        drift=rng.choice([0, 0.01]),
+        rogues=rng.choice([0, 0, 0, 1]),
+    )
 
 
 def explore(
--- a/ponddoor/fleet/view.py
+++ b/ponddoor/fleet/view.py
@@ -137,8 +137,10 @@
         if held is not None and held[0] > now - 50_000:  # keepers are asked hundreds of times a second
             return held[1]
         need = self.terms.known * (self.fronts - 1)
-        told = sum(o.whole_at is not None and o.whole_at >= since
-                   and not o.doubted for o in self.counts.origins.values())  # fmt: skip
+        told = sum(
+            o.whole_at is not None and o.whole_at >= since and not o.doubted
+            for o in self.counts.origins.values()
+        )
         whole = told >= need and self.presence.reach() >= self.terms.reach
         self.looked[group] = (now, whole)
         if whole:
@@ -351,14 +353,22 @@
 def seen_at(now: int, ends: words.Ends) -> Seen:
     """What a word tells, in our time. A word that was late is taken for fresher than it is, by so much."""
     never = Seen().failed_at
-    return Seen(ends.failed, ends.well, now - ends.failed_age if ends.failed else never,
-                now - ends.well_age if ends.well else never)  # fmt: skip
+    return Seen(
+        ends.failed,
+        ends.well,
+        now - ends.failed_age if ends.failed else never,
+        now - ends.well_age if ends.well else never,
+    )
 
 
 def ends_of(now: int, seen: Seen) -> words.Ends:
     """The reverse."""
-    return words.Ends(seen.failed, seen.well, now - seen.failed_at if seen.failed else 0,
-                      now - seen.well_at if seen.well else 0)  # fmt: skip
+    return words.Ends(
+        seen.failed,
+        seen.well,
+        now - seen.failed_at if seen.failed else 0,
+        now - seen.well_at if seen.well else 0,
+    )
 
 
 @functools.lru_cache(maxsize=4096)  # the same for all fronts of a process
--- a/ponddoor/front/acting.py
+++ b/ponddoor/front/acting.py
@@ -34,10 +34,16 @@
         rows = [s for s in front.servers.values() if s.row.state is not ServerState.GONE]
         idle = front.idles(rows, 1.0)
         return [
-            (f"{s.row.server:08x}", len(s.sessions), round(s.own()), round(front.asked(s)),
-             round(idle[s.row.server]), max(front.rested_until(s) - now, 0) / 1e6)
+            (
+                f"{s.row.server:08x}",
+                len(s.sessions),
+                round(s.own()),
+                round(front.asked(s)),
+                round(idle[s.row.server]),
+                max(front.rested_until(s) - now, 0) / 1e6,
+            )
             for s in rows
-        ]  # fmt: skip
+        ]
 
 
 @dataclass(slots=True)
@@ -94,8 +100,14 @@
         name, _, server = word.partition(" ")
         if name == "avoid":  # a judgement, with its evidence
             view = front.fleet.evidence.view(now, int(server), front.facts.me)
-            log.info(f"mechanism-{event}", mechanism=name, server=int(server), against=view.against,
-                     failed=view.failed, tries=view.tries)  # fmt: skip
+            log.info(
+                f"mechanism-{event}",
+                mechanism=name,
+                server=int(server),
+                against=view.against,
+                failed=view.failed,
+                tries=view.tries,
+            )
         elif name in ("keeps", "front-dead", "keeper-given-up"):
             log.info(f"mechanism-{event}", mechanism=name, number=int(server))
         elif server:
--- a/ponddoor/front/listing.py
+++ b/ponddoor/front/listing.py
@@ -86,8 +86,13 @@
             self.due = self.schedule.lost(now, how, gone, stay_away)
             self._turn += 1
             if self.reachable or self.failures == 0:
-                log.warning("list-out-of-reach", how=how.value, why=why, version=self.roster.version,
-                            again_in_ms=(self.due - now) // 1000)  # fmt: skip
+                log.warning(
+                    "list-out-of-reach",
+                    how=how.value,
+                    why=why,
+                    version=self.roster.version,
+                    again_in_ms=(self.due - now) // 1000,
+                )
             self.reachable, self.failures = False, self.failures + 1
             if once:
                 self.apply(lambda now: self.engine.news(now, ev.NewsScope.FAILED, ()))
--- a/ponddoor/front/metrics.py
+++ b/ponddoor/front/metrics.py
@@ -37,11 +37,18 @@
         self.registry = CollectorRegistry()
         self.registry.register(_Samples(samples))
         self._answers = Histogram(
-            "ponddoor_answer_seconds", "Time from a request to its answer, by kind of answer.",
-            ["kind"], buckets=_ANSWER, registry=self.registry)  # fmt: skip
+            "ponddoor_answer_seconds",
+            "Time from a request to its answer, by kind of answer.",
+            ["kind"],
+            buckets=_ANSWER,
+            registry=self.registry,
+        )
         self._lag = Histogram(
-            "ponddoor_loop_lag_seconds", "How late the event loop ran, sampled 20 times a second.",
-            buckets=_LAG, registry=self.registry)  # fmt: skip
+            "ponddoor_loop_lag_seconds",
+            "How late the event loop ran, sampled 20 times a second.",
+            buckets=_LAG,
+            registry=self.registry,
+        )
 
     def answered(self, kind: str, seconds: float) -> None:
         self._answers.labels(kind).observe(seconds)
--- a/ponddoor/front/process.py
+++ b/ponddoor/front/process.py
@@ -52,17 +52,30 @@
 
 def bounds_of(limits: Limits) -> Bounds:
     return Bounds(
-        limits.connections, limits.per_address, limits.header_bytes, limits.body_bytes,
-        limits.header_time / SECOND, limits.idle_time / SECOND, limits.write_time / SECOND,
-    )  # fmt: skip
+        limits.connections,
+        limits.per_address,
+        limits.header_bytes,
+        limits.body_bytes,
+        limits.header_time / SECOND,
+        limits.idle_time / SECOND,
+        limits.write_time / SECOND,
+    )
 
 
 class FrontProcess:
     """Assembles a front. `start`, then `run` until it is told to drain, or `stop`."""
 
-    def __init__(self, site: Site, me: int, kept: Path | None = None, seed: int | None = None,
-                 deciding: Deciding = Front, log_requests: bool = False,
-                 trace: Path | None = None, noted: Callable[..., None] | None = None) -> None:  # fmt: skip
+    def __init__(
+        self,
+        site: Site,
+        me: int,
+        kept: Path | None = None,
+        seed: int | None = None,
+        deciding: Deciding = Front,
+        log_requests: bool = False,
+        trace: Path | None = None,
+        noted: Callable[..., None] | None = None,
+    ) -> None:
         self._own, self.site, self.me, self._log_requests = site, site, me, log_requests
         self._noted = noted
         seed = secrets.randbits(64) if seed is None else seed
@@ -146,9 +159,17 @@
         )
         folder = (kept or Path(f"front-{self.me}")).with_suffix(".seats")
         return Seating(
-            self.me, len(self.site.fronts), terms.limits, timing, self.site.words.key, folder, clock,
-            self.words.send, self.viewers.seat_ended, lambda why: self._stopping.set(),
-        )  # fmt: skip
+            self.me,
+            len(self.site.fronts),
+            terms.limits,
+            timing,
+            self.site.words.key,
+            folder,
+            clock,
+            self.words.send,
+            self.viewers.seat_ended,
+            lambda why: self._stopping.set(),
+        )
 
     # Life
 
@@ -226,9 +247,16 @@
     def _followed(self, side: FollowSide, seed: int, kept: Path | None) -> Following:
         grace = self._own.facts.rules.drain_grace
         core = Follower(
-            self.me, len(self._own.fronts), len(side.instances), seed, grace, side.folder, self._unusable,
-            side.silence, side.report_every,
-        )  # fmt: skip
+            self.me,
+            len(self._own.fronts),
+            len(side.instances),
+            seed,
+            grace,
+            side.folder,
+            self._unusable,
+            side.silence,
+            side.report_every,
+        )
         file = kept.with_suffix(".config") if kept is not None else None
         made = Following(core, side.instances, self._take, file)
         made.refused = self._refused
@@ -267,9 +295,12 @@
         # What is told at each start, and what is this front's own, stays as it was
         old = self.engine.facts
         facts = replace(
-            old, groups=site.facts.groups, tenants=site.facts.tenants, ladder=site.facts.ladder,
+            old,
+            groups=site.facts.groups,
+            tenants=site.facts.tenants,
+            ladder=site.facts.ladder,
             over_share_utility=site.facts.over_share_utility,
-        )  # fmt: skip
+        )
         return self.engine.new_terms(now, facts) if facts != old else []
 
     def drain(self) -> None:
@@ -464,18 +495,34 @@
             name = fleet.presence.stands(one).value
             stands[name] = stands.get(name, 0) + 1
         yield "gauge", "fronts", "Other fronts, as this one takes them to stand.", "stands", stands
-        yield "gauge", "fronts_reached", "Share of the last pings that were answered.", "", {
-            "": fleet.presence.reach()
-        }
-        yield "gauge", "fleet_hears", "How this front hears the others: 1 at the one that holds.", "how", {
-            how.value: float(fleet.presence.hears(now) is how) for how in Hears
-        }
-        yield "gauge", "groups_whole", "Groups of servers of which all that is asked is known here.", "", {
-            "": sum(map(fleet.whole, fleet.groups))
-        }
-        yield "gauge", "parts_lent_here", "Parts of budgets lent to this front, by group.", "group", {
-            str(group): len(fleet.shares.lent_by(now, group)) for group in fleet.groups
-        }
+        yield (
+            "gauge",
+            "fronts_reached",
+            "Share of the last pings that were answered.",
+            "",
+            {"": fleet.presence.reach()},
+        )
+        yield (
+            "gauge",
+            "fleet_hears",
+            "How this front hears the others: 1 at the one that holds.",
+            "how",
+            {how.value: float(fleet.presence.hears(now) is how) for how in Hears},
+        )
+        yield (
+            "gauge",
+            "groups_whole",
+            "Groups of servers of which all that is asked is known here.",
+            "",
+            {"": sum(map(fleet.whole, fleet.groups))},
+        )
+        yield (
+            "gauge",
+            "parts_lent_here",
+            "Parts of budgets lent to this front, by group.",
+            "group",
+            {str(group): len(fleet.shares.lent_by(now, group)) for group in fleet.groups},
+        )
         yield "counter", "grants", "Sends granted to other fronts.", "", {"": fleet.shares.granted}
         yield "counter", "lent_refused", "Parts refused: of an earlier life.", "", {"": fleet.shares.fenced}
         yield "counter", "counts_refused", "Words on counts that were old.", "", {"": fleet.counts.refused}
@@ -488,7 +535,7 @@
             ("config_head", "Newest version known here.", core.head),
             ("config_refused", "A newer version that can't be used here; 0: none.", core.refused[0]),
             ("config_apart_seconds", "For how long no instance with a leader was heard.", apart),
-        ):  # fmt: skip
+        ):
             yield "gauge", name, text, "", {"": float(value)}
         counts = {**core.counts, **following.counts}
         yield "counter", "config_follow", "What came of following, by kind.", "what", _floats(counts)
--- a/ponddoor/front/reconnect.py
+++ b/ponddoor/front/reconnect.py
@@ -30,8 +30,13 @@
 
 
 # How long after the loss its news counts as told; of a silence, `lost` is told how much has gone by
-LEFT = {Loss.REFUSED: 2 * SECOND, Loss.BROKEN: 2 * SECOND, Loss.LATE: 4 * SECOND, Loss.SILENT: 4 * SECOND,
-        Loss.TURNED_AWAY: 4 * SECOND}  # fmt: skip
+LEFT = {
+    Loss.REFUSED: 2 * SECOND,
+    Loss.BROKEN: 2 * SECOND,
+    Loss.LATE: 4 * SECOND,
+    Loss.SILENT: 4 * SECOND,
+    Loss.TURNED_AWAY: 4 * SECOND,
+}
 MOVED = 4 * SECOND  # likewise after an order to follow another address
 
 
--- a/ponddoor/front/roster.py
+++ b/ponddoor/front/roster.py
@@ -139,9 +139,14 @@
             return None
         started = entry.started_us + self.wall_offset if entry.started_us else 0
         return ev.ServerRow(
-            entry.server, self.zones.index(entry.zone), self.kinds.index(entry.kind), entry.cell,
-            STATES[entry.state], entry.weight, started,
-        )  # fmt: skip
+            entry.server,
+            self.zones.index(entry.zone),
+            self.kinds.index(entry.kind),
+            entry.cell,
+            STATES[entry.state],
+            entry.weight,
+            started,
+        )
 
     def rows(self) -> tuple[ev.ServerRow, ...]:
         return tuple(row for entry in self.entries.values() if (row := self._row(entry)) is not None)
--- a/ponddoor/front/seating.py
+++ b/ponddoor/front/seating.py
@@ -98,10 +98,14 @@
         held = self.core.share((token.tenant, token.entitlement)).seats.get(token.seat)
         left = 0 if held is None else max(0, held.expires - self.clock())
         return {
-            "tenant": token.tenant, "entitlement": token.entitlement, "session": token.sess,
-            "generation": token.generation, "newest": held.generation if held is not None and left else 0,
-            "runs": left > 0, "expires_in_ms": left / 1000,
-        }  # fmt: skip
+            "tenant": token.tenant,
+            "entitlement": token.entitlement,
+            "session": token.sess,
+            "generation": token.generation,
+            "newest": held.generation if held is not None and left else 0,
+            "runs": left > 0,
+            "expires_in_ms": left / 1000,
+        }
 
     def token(self, got: Granted) -> str:
         """The signed token of a grant; its time is told by the wall clock."""
@@ -126,13 +130,18 @@
         now, rows = self.clock(), []
         for key in sorted(set(self.core.limits) | set(self.core.shares) | set(self.core.books)):
             share, book = self.core.shares.get(key), self.core.books.get(key)
-            rows.append({
-                "tenant": key[0], "entitlement": key[1], "limit": self.core.limits.get(key, 0),
-                "held": len(share.seats) if share else 0, "share": share.count if share else 0,
-                "share_ends_in_ms": max(0, share.until - now) // 1000 if share else 0,
-                "waiting": len(share.waiting) if share else 0,
-                "lent": {str(peer): lent.count for peer, lent in book.lent.items()} if book else {},
-            })  # fmt: skip
+            rows.append(
+                {
+                    "tenant": key[0],
+                    "entitlement": key[1],
+                    "limit": self.core.limits.get(key, 0),
+                    "held": len(share.seats) if share else 0,
+                    "share": share.count if share else 0,
+                    "share_ends_in_ms": max(0, share.until - now) // 1000 if share else 0,
+                    "waiting": len(share.waiting) if share else 0,
+                    "lent": {str(peer): lent.count for peer, lent in book.lent.items()} if book else {},
+                }
+            )
         return rows
 
     async def close(self) -> None:
--- a/ponddoor/front/servers.py
+++ b/ponddoor/front/servers.py
@@ -59,7 +59,6 @@
     age_ms: float = 0.0
 
 
-
 @dataclass(slots=True)
 class _Link:
     """What a front holds towards one server."""
@@ -152,10 +151,17 @@
             self._answered(effect, ev.Result.MOOT)
             return
         body = {
-            "sess": effect.sess, "front": self.me, "epoch": self.epoch, "attempt": effect.attempt,
-            "title": ask.title, "group": ask.service_group, "rung": effect.rung, "top": ask.top,
-            "timeout_us": effect.timeout, "attach_us": self.site.servers.attach_time,
-        }  # fmt: skip
+            "sess": effect.sess,
+            "front": self.me,
+            "epoch": self.epoch,
+            "attempt": effect.attempt,
+            "title": ask.title,
+            "group": ask.service_group,
+            "rung": effect.rung,
+            "top": ask.top,
+            "timeout_us": effect.timeout,
+            "attach_us": self.site.servers.attach_time,
+        }
         held = self.engine.find(effect.sess) if self.tells_terms else None
         if held is not None:
             rates = [rate * held.group.rate_factor for rate in held.ladder.rate_kb]
@@ -183,8 +189,11 @@
         asked: dict[str, float] | None = None,
     ) -> None:
         self.setups.pop((effect.sess, effect.attempt), None)
-        self.apply(lambda now: self.engine.setup_answered(
-            now, effect.sess, effect.attempt, effect.server, result, report or {}, asked or {}))  # fmt: skip
+        self.apply(
+            lambda now: self.engine.setup_answered(
+                now, effect.sess, effect.attempt, effect.server, result, report or {}, asked or {}
+            )
+        )
 
     async def _teardown(self, sess: str, attempt: int, server: int) -> None:
         """Guards against streams left running: tried again while the server is there to hear it."""
@@ -279,8 +288,11 @@
                 self._spawn(self._teardown(sess, attempt, number))
 
     def _noted(self, number: int, got: NoteLine) -> None:
-        kinds = {"delivered": ev.NoteKind.DELIVERED, "link": ev.NoteKind.LINK_ASKED,
-                 "uplink": ev.NoteKind.UPLINK_ASKED}  # fmt: skip
+        kinds = {
+            "delivered": ev.NoteKind.DELIVERED,
+            "link": ev.NoteKind.LINK_ASKED,
+            "uplink": ev.NoteKind.UPLINK_ASKED,
+        }
         if self.hinting is not None:
             self._hinted(self.hinting, number, got)
         if got.note == "ended":
--- a/ponddoor/front/taking.py
+++ b/ponddoor/front/taking.py
@@ -60,9 +60,14 @@
     """A front begins by a site, its own file's or a version's."""
     groups, tenants = site.facts.groups, site.facts.tenants
     return Terms(
-        site, _open(groups, groups), _open(tenants, tenants), _least(site), bool(site.seats.limits), version,
+        site,
+        _open(groups, groups),
+        _open(tenants, tenants),
+        _least(site),
+        bool(site.seats.limits),
+        version,
         digest,
-    )  # fmt: skip
+    )
 
 
 # At a start: all of a version, but where the front stands
@@ -77,9 +82,16 @@
     )
     facts = replace(version.facts, fronts=own.facts.fronts, asked_discovery=own.facts.asked_discovery)
     return replace(
-        version, name=own.name, facts=facts, fronts=fronts, listing=own.listing, words=own.words,
-        hints=own.hints, node=own.node, follow=own.follow,
-    )  # fmt: skip
+        version,
+        name=own.name,
+        facts=facts,
+        fronts=fronts,
+        listing=own.listing,
+        words=own.words,
+        hints=own.hints,
+        node=own.node,
+        follow=own.follow,
+    )
 
 
 def unusable_at_start(own: Site, version: Site) -> tuple[str, ...]:
@@ -127,9 +139,13 @@
     seats: SeatTerms = replace(held.site.seats, limits=version.seats.limits)
     site = replace(held.site, facts=facts, titles=version.titles, limits=version.limits, seats=seats)
     return replace(
-        held, site=site, groups=_open(groups, new.groups), tenants=_open(tenants, new.tenants),
-        version=number, digest=digest,
-    )  # fmt: skip
+        held,
+        site=site,
+        groups=_open(groups, new.groups),
+        tenants=_open(tenants, new.tenants),
+        version=number,
+        digest=digest,
+    )
 
 
 def _numbered(old: tuple[T, ...], new: tuple[T, ...]) -> tuple[T, ...]:
--- a/ponddoor/front/viewers.py
+++ b/ponddoor/front/viewers.py
@@ -162,9 +162,15 @@
             )
         wait = group.setup_timeout if body.wait_ms is None else round(body.wait_ms * 1000)
         return Ask(
-            body.title, number, tenants[body.tenant] if tenants else 0, place.home, place.span, top,
-            min(wait, group.setup_timeout), **_said(body),
-        )  # fmt: skip
+            body.title,
+            number,
+            tenants[body.tenant] if tenants else 0,
+            place.home,
+            place.span,
+            top,
+            min(wait, group.setup_timeout),
+            **_said(body),
+        )
 
     async def _ask(self, request: Request) -> Reply:
         began = asyncio.get_running_loop().time()
@@ -293,8 +299,13 @@
         return token
 
     def _refusal(self, got: Refused) -> HttpError:
-        status = {"no-such-entitlement": 422, "not-yours": 403, "expired": 410, "superseded": 409,
-                  "never-given": 409}.get(got.why, 503)  # fmt: skip
+        status = {
+            "no-such-entitlement": 422,
+            "not-yours": 403,
+            "expired": 410,
+            "superseded": 409,
+            "never-given": 409,
+        }.get(got.why, 503)
         seconds = max(1, math.ceil(got.come_back / SECOND))
         headers = (("Retry-After", str(seconds)),) if status == 503 else ()
         return HttpError(status, got.why, "no seat", headers)
@@ -341,19 +352,31 @@
 
     def _reply(self, sess: str, answer: Answer) -> Reply:
         if answer.kind == "playing":
-            body = {"session": sess, "state": "playing", "server": self.address_of(answer.server),
-                    "rung": answer.rung}  # fmt: skip
+            body = {
+                "session": sess,
+                "state": "playing",
+                "server": self.address_of(answer.server),
+                "rung": answer.rung,
+            }
             return Reply(201, body, (("Location", f"/sessions/{sess}"),))
         if answer.kind == "busy":
             seconds = max(1, math.ceil(answer.come_back / SECOND))
-            body = {"session": sess, "state": "busy-replied", "error": answer.why or "busy",
-                    "come_back_ms": answer.come_back / 1000}  # fmt: skip
+            body = {
+                "session": sess,
+                "state": "busy-replied",
+                "error": answer.why or "busy",
+                "come_back_ms": answer.come_back / 1000,
+            }
             return Reply(503, body, (("Retry-After", str(seconds)),))
         return Reply(502, {"session": sess, "state": "torn-down", "error": answer.why or answer.kind})
 
     def _state(self, held: Held) -> dict[str, Any]:
-        state: dict[str, Any] = {"session": held.sess, "state": held.phase.value, "title": held.ask.title,
-                                 "group": held.group.name}  # fmt: skip
+        state: dict[str, Any] = {
+            "session": held.sess,
+            "state": held.phase.value,
+            "title": held.ask.title,
+            "group": held.group.name,
+        }
         if held.phase is Phase.PLAYING:
             state |= {"server": self.address_of(held.server), "rung": held.rung}
         if held.phase is Phase.ENDED:
@@ -395,5 +418,7 @@
     return {
         "length": None if body.length_ms is None else round(body.length_ms * 1000),
         "viewer": number_of(body.viewer) if body.viewer else 0,
-        "again": body.again, "moved": body.moved, "asked_top": body.top,
-    }  # fmt: skip
+        "again": body.again,
+        "moved": body.moved,
+        "asked_top": body.top,
+    }
--- a/ponddoor/hints/intake.py
+++ b/ponddoor/hints/intake.py
@@ -254,11 +254,13 @@
         self.count("taken server")
         rate = {name: _number(values.get(name)) for name in ("etp", "mb", "ht")}
         return ServerHint(
-            server, taken, duress,
+            server,
+            taken,
+            duress,
             rate["etp"] * KB_PER_KBIT if rate["etp"] else None,
             rate["mb"] * KB_PER_KBIT if rate["mb"] else None,
             None if rate["ht"] is None else round(rate["ht"] * 1000),
-        )  # fmt: skip
+        )
 
 
 def _sources(viewer: str, tenant: str) -> list[Source]:
--- a/ponddoor/interface/actions.py
+++ b/ponddoor/interface/actions.py
@@ -123,5 +123,21 @@
     cookie: int
 
 
-Action = (Setup | Play | Wait | Listen | SetRung | BusyReply | TearDown | Cancel | Move | Probe | CloseIdle
-          | Tell | Watch | Fetch | Log | SetTimer)
+Action = (
+    Setup
+    | Play
+    | Wait
+    | Listen
+    | SetRung
+    | BusyReply
+    | TearDown
+    | Cancel
+    | Move
+    | Probe
+    | CloseIdle
+    | Tell
+    | Watch
+    | Fetch
+    | Log
+    | SetTimer
+)
--- a/ponddoor/interface/events.py
+++ b/ponddoor/interface/events.py
@@ -200,5 +200,18 @@
     facts: SiteFacts
 
 
-Event = (ServerNews | SessionRequest | HandedOver | Note | Started | Ended | ViewerLeft | Probed
-         | PeerMessage | TimerDue | PlayerHint | ServerHint | NewTerms)
+Event = (
+    ServerNews
+    | SessionRequest
+    | HandedOver
+    | Note
+    | Started
+    | Ended
+    | ViewerLeft
+    | Probed
+    | PeerMessage
+    | TimerDue
+    | PlayerHint
+    | ServerHint
+    | NewTerms
+)
--- a/ponddoor/interface/words.py
+++ b/ponddoor/interface/words.py
@@ -217,24 +217,36 @@
     """The messages that say a word."""
     match word:
         case Telling(life, stamp, rates, whole):
-            rows = [_RATE.pack(r.server, _flagged(r.kb, r.warm), *_sample(r.load), *_sample(r.share),
-                               *_ends(r.ends)) for r in rates]  # fmt: skip
+            rows = [
+                _RATE.pack(
+                    r.server, _flagged(r.kb, r.warm), *_sample(r.load), *_sample(r.share), *_ends(r.ends)
+                )
+                for r in rates
+            ]
             head, more = _TELLING.pack(life, stamp), any(r.load or r.share or r.ends for r in rates)
             if more and not whole:
                 return _split(_Kind.SAW, _Kind.SAW, head, rows, RATES)
-            rows = [row[:_PLAIN.size] for row in rows]
+            rows = [row[: _PLAIN.size] for row in rows]
             return _split(_Kind.ALL if whole else _Kind.CHANGES, _Kind.CHANGES, head, rows, PLAIN_RATES)
         case AskOurs(number):
             return [bytes([_Kind.OURS]) + _OURS_ASKED.pack(number)]
         case AskHolders(number, home, span, zone):
             return [bytes([_Kind.HOLDERS]) + _QUESTION.pack(number, home, span, zone)]
         case Answer(life, number, lend, rooms, brief):
-            rows = [_ROOM.pack(r.server, _steps(r.idle, 32767, -32768), _flagged(r.asked, r.granted),
-                               _flagged(r.theirs, r.warm), min(r.against, 255), *_ends(r.ends))
-                    for r in rooms]  # fmt: skip
+            rows = [
+                _ROOM.pack(
+                    r.server,
+                    _steps(r.idle, 32767, -32768),
+                    _flagged(r.asked, r.granted),
+                    _flagged(r.theirs, r.warm),
+                    min(r.against, 255),
+                    *_ends(r.ends),
+                )
+                for r in rooms
+            ]
             kind, most = _Kind.ANSWER, ROOMS
             if brief:
-                rows, kind, most = [row[:_BRIEF.size] for row in rows], _Kind.BRIEF, BRIEF_ROOMS
+                rows, kind, most = [row[: _BRIEF.size] for row in rows], _Kind.BRIEF, BRIEF_ROOMS
             return _split(kind, kind, _ANSWERED.pack(life, number, lend), rows, most)
         case Begun(life):
             return [bytes([_Kind.BEGUN]) + _LIFE.pack(life)]
@@ -272,7 +284,7 @@
     match kind:
         case _Kind.CHANGES | _Kind.ALL | _Kind.SAW:
             life, stamp = _TELLING.unpack_from(body)
-            rows = _whole(_RATE if kind == _Kind.SAW else _PLAIN, body[_TELLING.size:])
+            rows = _whole(_RATE if kind == _Kind.SAW else _PLAIN, body[_TELLING.size :])
             rates = tuple(_read_rate(*row) for row in rows)
             return Telling(life, stamp, rates, kind == _Kind.ALL)
         case _Kind.OURS:
@@ -281,21 +293,21 @@
             return AskHolders(*_QUESTION.unpack_from(body))
         case _Kind.ANSWER | _Kind.BRIEF:
             life, number, lend = _ANSWERED.unpack_from(body)
-            brief, after = kind == _Kind.BRIEF, body[_ANSWERED.size:]
+            brief, after = kind == _Kind.BRIEF, body[_ANSWERED.size :]
             rows = _whole(_BRIEF if brief else _ROOM, after)
             return Answer(life, number, lend, tuple(_read_room(*row) for row in rows), brief)
         case _Kind.BEGUN:
             return Begun(*_LIFE.unpack_from(body))
         case _Kind.LENDING:
             life, keeper, number = _LENT.unpack_from(body)
-            return Lending(life, keeper, number, tuple(row[0] for row in _whole(_GROUP, body[_LENT.size:])))
+            return Lending(life, keeper, number, tuple(row[0] for row in _whole(_GROUP, body[_LENT.size :])))
         case _Kind.PING:
             number, life, bump = _HEARD.unpack_from(body)
-            return Ping(number, life, bump, _read_rows(body[_HEARD.size:]))
+            return Ping(number, life, bump, _read_rows(body[_HEARD.size :]))
         case _Kind.ACK | _Kind.VIA:
             number, life, bump = _HEARD.unpack_from(body)
             of, missed = _OF.unpack_from(body, _HEARD.size)
-            told = _read_rows(body[_HEARD.size + _OF.size:])
+            told = _read_rows(body[_HEARD.size + _OF.size :])
             if kind == _Kind.VIA:
                 return Via(number, life, bump, told, of)
             return Ack(number, life, bump, told, of, missed > 0)
@@ -306,20 +318,29 @@
             after = _COUNT.size + count * _ROW.size
             seen = _whole(_SAW, body[after:])
             saw = tuple((server, _read_ends(*ends) or Ends(0, 0)) for server, *ends in seen)
-            return News(life, _read_rows(body[_COUNT.size:after]), saw)
+            return News(life, _read_rows(body[_COUNT.size : after]), saw)
     return None
 
 
-def _read_rate(at: int, kb: int, load: int = _NONE, age: int = 0, share: int = _NONE, since: int = 0,
-               *ends: int) -> Rate:  # fmt: skip
+def _read_rate(
+    at: int, kb: int, load: int = _NONE, age: int = 0, share: int = _NONE, since: int = 0, *ends: int
+) -> Rate:
     told = _read_ends(*ends) if ends else None
     return Rate(at, (kb & ~_WARM) * _KB, _read(load, age), _read(share, since), kb >= _WARM, told)
 
 
 def _read_room(at: int, idle: int, asked: int, theirs: int, against: int = 0, *ends: int) -> Room:
     told = _read_ends(*ends) if ends else None
-    return Room(at, idle * _KB, (asked & ~_WARM) * _KB, (theirs & ~_WARM) * _KB, theirs >= _WARM, against,
-                told or Ends(0, 0), asked >= _WARM)  # fmt: skip
+    return Room(
+        at,
+        idle * _KB,
+        (asked & ~_WARM) * _KB,
+        (theirs & ~_WARM) * _KB,
+        theirs >= _WARM,
+        against,
+        told or Ends(0, 0),
+        asked >= _WARM,
+    )
 
 
 def _whole(row: struct.Struct, body: bytes) -> list[tuple[int, ...]]:
@@ -328,7 +349,7 @@
 
 def _split(first: int, further: int, head: bytes, rows: list[bytes], most: int) -> list[bytes]:
     starts = range(0, max(len(rows), 1), most)
-    return [bytes([further if at else first]) + head + b"".join(rows[at:at + most]) for at in starts]
+    return [bytes([further if at else first]) + head + b"".join(rows[at : at + most]) for at in starts]
 
 
 def _steps(kb: float, most: int, least: int = 0) -> int:
@@ -362,10 +383,13 @@
 
 
 def _rows(rows: tuple[Row, ...]) -> bytes:
-    return b"".join(_ROW.pack(r.front, r.life, r.bump, _NOBODY if r.accuser is None else r.accuser)
-                    for r in rows[:ROWS])
+    return b"".join(
+        _ROW.pack(r.front, r.life, r.bump, _NOBODY if r.accuser is None else r.accuser) for r in rows[:ROWS]
+    )
 
 
 def _read_rows(body: bytes) -> tuple[Row, ...]:
-    return tuple(Row(front, life, bump, None if accuser == _NOBODY else accuser)
-                 for front, life, bump, accuser in _whole(_ROW, body)[:ROWS])
+    return tuple(
+        Row(front, life, bump, None if accuser == _NOBODY else accuser)
+        for front, life, bump, accuser in _whole(_ROW, body)[:ROWS]
+    )
--- a/ponddoor/load/generator.py
+++ b/ponddoor/load/generator.py
@@ -38,8 +38,13 @@
 
     def as_dict(self) -> dict[str, Any]:
         at = {f"p{part:g}": self.latency.get_value_at_percentile(part) / 1000 for part in PARTS}
-        return {"seconds": self.seconds, "states": self.states, "playing_per_s": self.playing_per_s,
-                "latency_ms": at, "histogram": self.latency.encode().decode()}  # fmt: skip
+        return {
+            "seconds": self.seconds,
+            "states": self.states,
+            "playing_per_s": self.playing_per_s,
+            "latency_ms": at,
+            "histogram": self.latency.encode().decode(),
+        }
 
 
 @dataclass(slots=True)
--- a/ponddoor/load/hints.py
+++ b/ponddoor/load/hints.py
@@ -45,8 +45,12 @@
     """Microseconds of each step: read, take in and judge, tell the decisions, write the answer's header."""
     headers = {name.lower(): text for name, text in cmcd.write_headers(HINTS).items()}
     report = cmcd.write_reports([{**HINTS, "e": "t", "ts": 1_700_000_000_000}])
-    intake, facts = Intake(), loads(SITE.format(servers=1, link=1e4, uplink=1e7, list=1, viewers=2, words=3,
-                                                metrics=4)).facts_of(0, 1)  # fmt: skip
+    intake, facts = (
+        Intake(),
+        loads(SITE.format(servers=1, link=1e4, uplink=1e7, list=1, viewers=2, words=3, metrics=4)).facts_of(
+            0, 1
+        ),
+    )
     driver = _playing(facts)
     intake.playing(0, "s", "v", "t", 1, 200.0)
 
@@ -85,5 +89,8 @@
             ratios.append(rates["hinted"] / rates["plain"])
             times.append(1e6 / rates["plain"])
     ratios.sort()
-    return {"set_up_us": round(median(times), 1), "with_hints_over_without": round(median(ratios), 3),
-            "ratios": [round(ratio, 3) for ratio in ratios]}  # fmt: skip
+    return {
+        "set_up_us": round(median(times), 1),
+        "with_hints_over_without": round(median(ratios), 3),
+        "ratios": [round(ratio, 3) for ratio in ratios],
+    }
--- a/ponddoor/node/board_codec.py
+++ b/ponddoor/node/board_codec.py
@@ -80,8 +80,15 @@
         return ListMessage(LIST, notice.rev, [], beat=True)
     entries = [
         Entry(
-            number_of(m.id), m.host_port, m.locality, m.flavor, m.cell,
-            _STATES.get(m.phase, m.phase), m.size, round(m.up_since_ms * 1000),
+            number_of(m.id),
+            m.host_port,
+            m.locality,
+            m.flavor,
+            m.cell,
+            _STATES.get(m.phase, m.phase),
+            m.size,
+            round(m.up_since_ms * 1000),
         )
-        for m in notice.pool.members]  # fmt: skip
+        for m in notice.pool.members
+    ]
     return ListMessage(LIST, notice.rev, entries, None if notice.pool.complete else notice.rev - 1)
--- a/ponddoor/node/process.py
+++ b/ponddoor/node/process.py
@@ -230,4 +230,3 @@
         self.reserve.close()
         self._say()
         log.info("node-ended")
-
--- a/ponddoor/node/server_codec.py
+++ b/ponddoor/node/server_codec.py
@@ -16,8 +16,12 @@
 _GIVEN_UP, _ENDED_BY_VIEWER, _WITH_REPORT = 16, 31, 1
 _BEFORE = {34: ev.Result.FULL, 47: ev.Result.ERROR, 102: ev.Result.MOOT}
 _AFTER = {16: "over", 31: "viewer-gone"}
-_NOTES = {"d": ev.NoteKind.DELIVERED, "r": ev.NoteKind.RUNG, "l": ev.NoteKind.LINK_ASKED,
-          "u": ev.NoteKind.UPLINK_ASKED}  # fmt: skip
+_NOTES = {
+    "d": ev.NoteKind.DELIVERED,
+    "r": ev.NoteKind.RUNG,
+    "l": ev.NoteKind.LINK_ASKED,
+    "u": ev.NoteKind.UPLINK_ASKED,
+}
 _FREE = frozenset(("wait", "gauge", "step", "shift", "hb", "new"))
 
 
--- a/ponddoor/node/server_messages.py
+++ b/ponddoor/node/server_messages.py
@@ -33,8 +33,15 @@
     def count(self, what: str) -> None: ...
     def new_id(self) -> str: ...
     def never_sent(self, item: Item, why: ev.Result) -> None: ...
-    def answered(self, sess: str, attempt: int, server: int, result: ev.Result | None,
-                 report: dict[str, float], passed: str = "") -> None: ...  # fmt: skip
+    def answered(
+        self,
+        sess: str,
+        attempt: int,
+        server: int,
+        result: ev.Result | None,
+        report: dict[str, float],
+        passed: str = "",
+    ) -> None: ...
     def probed(self, server: int, lag: int, result: ev.Result, report: dict[str, float]) -> None: ...
 
 
--- a/ponddoor/node/servers.py
+++ b/ponddoor/node/servers.py
@@ -130,11 +130,7 @@
 
     def _let_go(self, link: ServerLink) -> None:
         """A server that has gone is forgotten once nothing of ours is left there."""
-        busy = (
-            self.engine.plays_at(link.number)
-            or link.waiting
-            or link.has_setups
-        )
+        busy = self.engine.plays_at(link.number) or link.waiting or link.has_setups
         if link.entry.state == "gone" and not busy:
             if self.links.get(link.number) is link:
                 del self.links[link.number]
@@ -171,11 +167,7 @@
                     link.say(effect)
             case fx.CloseIdle(server):
                 link = self.links.get(server)
-                if (
-                    link is not None
-                    and link.connection is not None
-                    and not (link.has_setups or link.waiting)
-                ):
+                if link is not None and link.connection is not None and not (link.has_setups or link.waiting):
                     link.close_connection(link.connection, "let go")
             case _:
                 raise TypeError(f"{effect} is not for servers")
@@ -187,10 +179,18 @@
             case fx.SendProbe(server):
                 self.probed(server, 0, why, {})
 
-    def answered(self, sess: str, attempt: int, server: int, result: ev.Result | None,
-                 report: dict[str, float], passed: str = "") -> None:  # fmt: skip
-        self.apply(lambda now: self.engine.setup_answered(
-            now, sess, attempt, server, result, report, {}, passed))  # fmt: skip
+    def answered(
+        self,
+        sess: str,
+        attempt: int,
+        server: int,
+        result: ev.Result | None,
+        report: dict[str, float],
+        passed: str = "",
+    ) -> None:
+        self.apply(
+            lambda now: self.engine.setup_answered(now, sess, attempt, server, result, report, {}, passed)
+        )
 
     def probed(self, server: int, lag: int, result: ev.Result, report: dict[str, float]) -> None:
         self.apply(lambda now: self.engine.probed(now, server, lag, result, report))
--- a/ponddoor/node/serving.py
+++ b/ponddoor/node/serving.py
@@ -18,11 +18,15 @@
     """The exit status. `early` takes the signals that come before the loop has its handlers."""
     level = 10 if environment.get("PONDDOOR_LOG") == "debug" else 20
     structlog.configure(
-        processors=[structlog.processors.add_log_level, structlog.processors.TimeStamper(fmt="iso", utc=True),
-                    structlog.processors.format_exc_info, structlog.processors.JSONRenderer(default=repr)],
+        processors=[
+            structlog.processors.add_log_level,
+            structlog.processors.TimeStamper(fmt="iso", utc=True),
+            structlog.processors.format_exc_info,
+            structlog.processors.JSONRenderer(default=repr),
+        ],
         wrapper_class=structlog.make_filtering_bound_logger(level),
         logger_factory=structlog.PrintLoggerFactory(cast(TextIO, LogStream(sys.stderr))),
-    )  # fmt: skip
+    )
     try:
         path, place = told(environment)
         node = Node(place, watched=level == 10)
--- a/ponddoor/node/start.py
+++ b/ponddoor/node/start.py
@@ -89,11 +89,19 @@
         if raw.limits.sockets < 64:
             raise StartError(f"sockets is {raw.limits.sockets}, 64 at least are needed")
         return Place(
-            raw.name, address(raw.listen, "listen"), raw.limits.sockets, idle, facts, zones, kinds,
-            address(raw.board, "board"), known,
-            address(raw.peer_listen, "peer_listen") if raw.peer_listen else None, peers,
+            raw.name,
+            address(raw.listen, "listen"),
+            raw.limits.sockets,
+            idle,
+            facts,
+            zones,
+            kinds,
+            address(raw.board, "board"),
+            known,
+            address(raw.peer_listen, "peer_listen") if raw.peer_listen else None,
+            peers,
             address(raw.peers_all, "peers_all") if raw.peers_all else None,
-        )  # fmt: skip
+        )
     except OSError as problem:
         raise StartError(f"{path}: {problem.strerror}") from None
     except (msgspec.MsgspecError, MalformedError, UnreadableError, ValueError) as problem:
--- a/ponddoor/node/timeline.py
+++ b/ponddoor/node/timeline.py
@@ -11,9 +11,16 @@
 
 AROUND_S = 10.0  # lines of its server so long before it stands and after it is over
 SERVER_EVENTS = frozenset(
-    ("connection-opened", "connection-in-use", "connection-broke", "connection-ended", "refresh-failed",
-     "sessions-lost", "no-descriptor")
-)  # fmt: skip
+    (
+        "connection-opened",
+        "connection-in-use",
+        "connection-broke",
+        "connection-ended",
+        "refresh-failed",
+        "sessions-lost",
+        "no-descriptor",
+    )
+)
 
 
 class TimelineError(Exception):
--- a/ponddoor/node/viewer_codec.py
+++ b/ponddoor/node/viewer_codec.py
@@ -142,11 +142,19 @@
             raise ValueError("no time to wait")
         int(text[_TITLE], 16)
         return Asked(
-            sess, text[_GROUP], round(wait * 1000), text[_TITLE], int(_number(more["home"], 0, 65535)),
-            int(_number(more["copies"], 1, 65535)), int(_number(more["top"], 0, 255)),
-            int(more.get("viewer", "0"), 16) % 2**64, None if length is None else round(length * 1000),
-            _AGAIN in text or "again" in more, at, text.get(_DESCRIPTION, ""),
-        )  # fmt: skip
+            sess,
+            text[_GROUP],
+            round(wait * 1000),
+            text[_TITLE],
+            int(_number(more["home"], 0, 65535)),
+            int(_number(more["copies"], 1, 65535)),
+            int(_number(more["top"], 0, 255)),
+            int(more.get("viewer", "0"), 16) % 2**64,
+            None if length is None else round(length * 1000),
+            _AGAIN in text or "again" in more,
+            at,
+            text.get(_DESCRIPTION, ""),
+        )
     except (ValueError, KeyError) as problem:
         return Unusable(sess, f"{type(problem).__name__}: {str(problem)[:100]}")
 
--- a/ponddoor/platform/facts.py
+++ b/ponddoor/platform/facts.py
@@ -13,8 +13,16 @@
 
 _EFFECTS = {"repeatable": fx.Effect.SAFE, "by_key": fx.Effect.KEYED, "once": fx.Effect.UNSAFE}
 _REPORTING = {"inline": fx.Reporting.INLINE, "on_probe": fx.Reporting.ON_PROBE, "off": fx.Reporting.OFF}
-_FIELDS = {"rif": "streams", "q": "waiting", "busy": "util", "lat_ms": "setup_ms", "rate": "setups_per_s",
-           "fail_rate": "failed_per_s", "x0": "link_asked", "x1": "uplink_asked"}
+_FIELDS = {
+    "rif": "streams",
+    "q": "waiting",
+    "busy": "util",
+    "lat_ms": "setup_ms",
+    "rate": "setups_per_s",
+    "fail_rate": "failed_per_s",
+    "x0": "link_asked",
+    "x1": "uplink_asked",
+}
 
 
 def micros(ms: float) -> int:
@@ -65,12 +73,21 @@
     fam, safety, allow, prices = raw["specifics"], raw["safety"], raw["permissions"], raw["prices"]
     groups = tuple(
         fx.ServiceGroup(
-            name=lane["name"], start_target=micros(lane["aim"]), setup_timeout=micros(lane["deadline"]),
-            utility=lane["value"], effect=_effect(lane["semantics"]),
-            scope=fx.Scope(lane.get("group", "all")), memory=micros(lane.get("memorySpan", 0)),
-            floor=fam["floorByClass"][i], top=fam["classTop"][i], seats=fam["classSeats"][i],
-            live=fam["live"][i], rate_factor=fam["rateFactor"][i])
-        for i, lane in enumerate(raw["lanes"]))
+            name=lane["name"],
+            start_target=micros(lane["aim"]),
+            setup_timeout=micros(lane["deadline"]),
+            utility=lane["value"],
+            effect=_effect(lane["semantics"]),
+            scope=fx.Scope(lane.get("group", "all")),
+            memory=micros(lane.get("memorySpan", 0)),
+            floor=fam["floorByClass"][i],
+            top=fam["classTop"][i],
+            seats=fam["classSeats"][i],
+            live=fam["live"][i],
+            rate_factor=fam["rateFactor"][i],
+        )
+        for i, lane in enumerate(raw["lanes"])
+    )
     for group in groups:
         _possible(group, len(fam["rungKb"]))
     names = tuple(map(report_word, raw["reporting"]["fields"]))
@@ -78,31 +95,63 @@
     share = safety.get("resendRatio")
     limited = bool(safety.get("ratioSpan")) and (spare is not None or share is not None)
     facts = fx.SiteFacts(
-        me=raw["me"], fronts=raw["balancers"], zone=raw["zone"], seed=seed,
-        asked_discovery=raw["discovery"] == "on_request", reporting=_REPORTING[raw["reporting"]["how"]],
-        report_fields=names, over_share_utility=raw.get("overShareWorth", 1.0), groups=groups,
-        tenants=tuple(fx.Tenant(unit["name"], unit["quotaPerS"], unit["share"])
-                      for unit in raw.get("accounts", ())),
-        ladder=fx.Ladder(tuple(fam["rungKb"]), tuple(fam["ladderWorth"]), fam["changeCostsS"],
-                         fam["shortfallCost"], fam.get("join", 1.0)),
+        me=raw["me"],
+        fronts=raw["balancers"],
+        zone=raw["zone"],
+        seed=seed,
+        asked_discovery=raw["discovery"] == "on_request",
+        reporting=_REPORTING[raw["reporting"]["how"]],
+        report_fields=names,
+        over_share_utility=raw.get("overShareWorth", 1.0),
+        groups=groups,
+        tenants=tuple(
+            fx.Tenant(unit["name"], unit["quotaPerS"], unit["share"]) for unit in raw.get("accounts", ())
+        ),
+        ladder=fx.Ladder(
+            tuple(fam["rungKb"]),
+            tuple(fam["ladderWorth"]),
+            fam["changeCostsS"],
+            fam["shortfallCost"],
+            fam.get("join", 1.0),
+        ),
         plant=fx.Plant(
-            cells=fam["positions"], racks=fam["groups"], kb_per_weight=fam["kbPerWeight"],
-            uplink_kb=fam["rackKb"], streams=tuple(fam["kindStreams"]), refuse_at=fam.get("guard", 0.0),
-            note_delay=micros(fam.get("toldLate", 0)), note_every=micros(fam.get("tell", 0))),
+            cells=fam["positions"],
+            racks=fam["groups"],
+            kb_per_weight=fam["kbPerWeight"],
+            uplink_kb=fam["rackKb"],
+            streams=tuple(fam["kindStreams"]),
+            refuse_at=fam.get("guard", 0.0),
+            note_delay=micros(fam.get("toldLate", 0)),
+            note_every=micros(fam.get("tell", 0)),
+        ),
         rules=fx.Rules(
-            cold=micros(safety["cold"]), cold_from=safety["coldFrom"],
-            drain_grace=micros(safety["drainGrace"]), fall_multiple=safety["fallMultiple"],
-            fall=micros(safety["fall"]), answer_grace=micros(safety["graceToAnswer"]),
+            cold=micros(safety["cold"]),
+            cold_from=safety["coldFrom"],
+            drain_grace=micros(safety["drainGrace"]),
+            fall_multiple=safety["fallMultiple"],
+            fall=micros(safety["fall"]),
+            answer_grace=micros(safety["graceToAnswer"]),
             ask_every=micros(safety.get("askEvery", 0)),
-            spare_setups=int(spare or 0) if limited else None, resend_ratio=share or 0.0,
-            resend_span=micros(safety.get("ratioSpan", 0))),
+            spare_setups=int(spare or 0) if limited else None,
+            resend_ratio=share or 0.0,
+            resend_span=micros(safety.get("ratioSpan", 0)),
+        ),
         permissions=fx.Permissions(
-            probes=allow["probes"], messages=allow["mayTell"], cancel=allow["cancelling"],
-            max_attempts=allow["maxAttempts"], come_back=allow["retryAfter"],
+            probes=allow["probes"],
+            messages=allow["mayTell"],
+            cancel=allow["cancelling"],
+            max_attempts=allow["maxAttempts"],
+            come_back=allow["retryAfter"],
             max_come_back=micros(allow["maxRetryAfter"]),
-            connect_timeout=micros(allow["connectTimeout"])),
-        prices=fx.Prices(cross_zone=prices["crossZone"], probe=prices["probe"], message=prices["peer"],
-                         move=prices["moves"]))
+            connect_timeout=micros(allow["connectTimeout"]),
+        ),
+        prices=fx.Prices(
+            cross_zone=prices["crossZone"],
+            probe=prices["probe"],
+            message=prices["peer"],
+            move=prices["moves"],
+        ),
+    )
     return facts, names
 
 
@@ -112,13 +161,20 @@
     fields = {ours: theirs for theirs, ours in _FIELDS.items()}
     rules, allow, plant, ladder = facts.rules, facts.permissions, facts.plant, facts.ladder
     safety: dict[str, Any] = {
-        "cold": rules.cold / 1000, "coldFrom": rules.cold_from, "drainGrace": rules.drain_grace / 1000,
-        "fallMultiple": rules.fall_multiple, "fall": rules.fall / 1000, "askEvery": rules.ask_every / 1000,
+        "cold": rules.cold / 1000,
+        "coldFrom": rules.cold_from,
+        "drainGrace": rules.drain_grace / 1000,
+        "fallMultiple": rules.fall_multiple,
+        "fall": rules.fall / 1000,
+        "askEvery": rules.ask_every / 1000,
         "graceToAnswer": rules.answer_grace / 1000,
-    }  # fmt: skip
+    }
     if rules.spare_setups is not None:
-        safety |= {"spareAttempts": rules.spare_setups, "resendRatio": rules.resend_ratio,
-                   "ratioSpan": rules.resend_span / 1000}  # fmt: skip
+        safety |= {
+            "spareAttempts": rules.spare_setups,
+            "resendRatio": rules.resend_ratio,
+            "ratioSpan": rules.resend_span / 1000,
+        }
     return {
         "me": facts.me, "balancers": facts.fronts, "zone": facts.zone, "localities": zones, "skus": kinds,
         "discovery": "on_request" if facts.asked_discovery else "pushed",
--- a/ponddoor/raft/member.py
+++ b/ponddoor/raft/member.py
@@ -176,15 +176,23 @@
         """For operators."""
         raft = self.raft
         return {
-            "me": raft.me, "role": raft.role.value, "leader": raft.leader, "term": raft.term,
-            "last": raft.last_index, "commit": raft.commit, "applied": raft.applied,
-            "snapshot": raft.snapshot.index, "version": self.machine.number, "failed": self.failed,
+            "me": raft.me,
+            "role": raft.role.value,
+            "leader": raft.leader,
+            "term": raft.term,
+            "last": raft.last_index,
+            "commit": raft.commit,
+            "applied": raft.applied,
+            "snapshot": raft.snapshot.index,
+            "version": self.machine.number,
+            "failed": self.failed,
             "apart": self.apart,
-            "voters": sorted(raft.members.voters), "learners": sorted(raft.members.learners),
+            "voters": sorted(raft.members.voters),
+            "learners": sorted(raft.members.learners),
             "match": {str(member): progress.match for member, progress in raft.progress.items()},
             "heard_ticks": {str(member): progress.heard for member, progress in raft.progress.items()},
             "refused": dict(self.transport.counts),
-        }  # fmt: skip
+        }
 
     async def stop(self) -> None:
         """Who waits is answered, and so is at once whoever asks from now on."""
--- a/ponddoor/rehearse/baseline.py
+++ b/ponddoor/rehearse/baseline.py
@@ -29,8 +29,12 @@
         group = self.facts.groups[request.service_group]
         deadline, allowed = self.now + request.time_left, self.facts.permissions
         for _ in range(allowed.max_attempts):
-            open_now = [row.server for row in self.rows.values() if row.state is ev.ServerState.READY
-                        and (row.cell - request.home) % self.facts.plant.cells < request.span]  # fmt: skip
+            open_now = [
+                row.server
+                for row in self.rows.values()
+                if row.state is ev.ServerState.READY
+                and (row.cell - request.home) % self.facts.plant.cells < request.span
+            ]
             if not open_now or self.now >= deadline:
                 break
             yield act.SetRung(request.req_id, group.floor)
--- a/ponddoor/rehearse/day.py
+++ b/ponddoor/rehearse/day.py
@@ -219,6 +219,8 @@
     if day.instances is None and (day.changes is not None or asked):
         found = "(changes ...)" if day.changes is not None else asked[0]
         top.problem(top.place, f"{found} without instances", "(instances N)")
+
+
 def _layout(held: Form, site: Site) -> Layout:
     """(places (machine FRONTS) (rack MACHINES) (regions N))"""
     zones = tuple([place.zone for place in site.fronts] or [0])
--- a/ponddoor/rehearse/hollow_following.py
+++ b/ponddoor/rehearse/hollow_following.py
@@ -59,9 +59,14 @@
             self.note("in-force", front=me, version=effect.number, digest=effect.digest)
 
         follower = Follower(
-            me, facts.fronts, len(self.addresses[me]), facts.seed, facts.rules.drain_grace, self.folder,
+            me,
+            facts.fronts,
+            len(self.addresses[me]),
+            facts.seed,
+            facts.rules.drain_grace,
+            self.folder,
             usable,
-        )  # fmt: skip
+        )
         path = self.folder / f"front-{me}.config"
         if held := self.kept.get(me):
             path.write_bytes(held)
--- a/ponddoor/rehearse/hollow_front.py
+++ b/ponddoor/rehearse/hollow_front.py
@@ -393,14 +393,24 @@
         """Its words by kind in all its lives, and what it holds."""
         life = self.life
         out, come = (self.out, self.come) if life is None else self._ever(life)
-        told = {"lives": life is not None, "starts": self.starts, "at_us": clock(), "out": out.kinds,
-                "in": come.kinds, "tries": self.counts, "keeps": []}  # fmt: skip
+        told = {
+            "lives": life is not None,
+            "starts": self.starts,
+            "at_us": clock(),
+            "out": out.kinds,
+            "in": come.kinds,
+            "tries": self.counts,
+            "keeps": [],
+        }
         if life is None:
             return told
         fleet = life.decisions.fleet
         return told | {
-            "lost": life.words.lost, "refused": life.words.seal.refused,
+            "lost": life.words.lost,
+            "refused": life.words.seal.refused,
             "keeps": [group for group in fleet.groups if self.me in fleet.keepers(group)],
-            "held": life.engine.held, "faults": life.engine.counts.faults,
-            "decision_s": life.engine.counts.decision_ns / 1e9, "setups": life.engine.counts.setups,
-        }  # fmt: skip
+            "held": life.engine.held,
+            "faults": life.engine.counts.faults,
+            "decision_s": life.engine.counts.decision_ns / 1e9,
+            "setups": life.engine.counts.setups,
+        }
--- a/ponddoor/rehearse/hollow_run.py
+++ b/ponddoor/rehearse/hollow_run.py
@@ -281,8 +281,11 @@
     async def _take_told(self, one: _Process) -> None:
         told = await self._told(one)
         self.changes += [(at, front, other, dead) for at, front, other, dead in told["changes"]]
-        figures = {"loop, most late, ms": told["late_ms"], "loop, share of time late": told["late"],
-                   "changes not kept": told["dropped"]}  # fmt: skip
+        figures = {
+            "loop, most late, ms": told["late_ms"],
+            "loop, share of time late": told["late"],
+            "changes not kept": told["dropped"],
+        }
         for name, figure in figures.items():
             self.cost[f"hollow: {name}"] = max(self.cost.get(f"hollow: {name}", 0), figure)
 
--- a/ponddoor/rehearse/hollow_servers.py
+++ b/ponddoor/rehearse/hollow_servers.py
@@ -152,8 +152,11 @@
         self._after(FRONT_GRACE, end)
 
     def tell_all(self, note: str, value: float) -> None:
-        kinds = {"delivered": ev.NoteKind.DELIVERED, "link": ev.NoteKind.LINK_ASKED,
-                 "uplink": ev.NoteKind.UPLINK_ASKED}  # fmt: skip
+        kinds = {
+            "delivered": ev.NoteKind.DELIVERED,
+            "link": ev.NoteKind.LINK_ASKED,
+            "uplink": ev.NoteKind.UPLINK_ASKED,
+        }
         late = self.site.facts.plant.note_delay / SECOND
         if note != "delivered" and "report_late" in self.faults:
             late += self.faults["report_late"].size
--- a/ponddoor/rehearse/hollow_table.py
+++ b/ponddoor/rehearse/hollow_table.py
@@ -354,10 +354,15 @@
             for r in found.kinds
         ],
         "known": [
-            {"what": k[0].name, "dead": k[0].dead, "real": [k[0].half, k[0].most],
-             "hollow": [k[1].half, k[1].most], "all": [k[2].half, k[2].most]}
+            {
+                "what": k[0].name,
+                "dead": k[0].dead,
+                "real": [k[0].half, k[0].most],
+                "hollow": [k[1].half, k[1].most],
+                "all": [k[2].half, k[2].most],
+            }
             for k in found.known
         ],
         "not_agreed": found.apart,
         "cost": cost,
-    }  # fmt: skip
+    }
--- a/ponddoor/rehearse/instances.py
+++ b/ponddoor/rehearse/instances.py
@@ -229,10 +229,20 @@
     async def _send_all(self, begin: float, planned: list[Planned]) -> None:
         for change in planned:
             await asyncio.sleep(max(0.0, begin + change.at / SECOND - time.monotonic()))
-            body = {"who": "rehearse", "why": change.why, "sets": change.sets, "drops": list(change.drops),
-                    "needs": {}}  # fmt: skip
-            self.note("change-sent", number=change.number, kind=change.kind.value, title=change.title,
-                      top_kb=change.top_kb)  # fmt: skip
+            body = {
+                "who": "rehearse",
+                "why": change.why,
+                "sets": change.sets,
+                "drops": list(change.drops),
+                "needs": {},
+            }
+            self.note(
+                "change-sent",
+                number=change.number,
+                kind=change.kind.value,
+                title=change.title,
+                top_kb=change.top_kb,
+            )
             sending, self._sending = self._sending, asyncio.Event()
             sending.set()
             version = await self._send(body)
@@ -262,8 +272,14 @@
                     version = int(told.get("version", 0))
                     if version > self._seen:
                         self._seen = version
-                        self.note("committed", version=version, why=told["why"], when_us=told["when_us"],
-                                  instance=one.number, line=len(line) + 1)  # fmt: skip
+                        self.note(
+                            "committed",
+                            version=version,
+                            why=told["why"],
+                            when_us=told["when_us"],
+                            instance=one.number,
+                            line=len(line) + 1,
+                        )
             pool.close()
             await asyncio.sleep(0.1)
 
@@ -316,12 +332,17 @@
         for one in self.all:
             name = one.party
             self.note(
-                "instance-sums", instance=one.number, seconds=used.pop(name), memory=one.memory,
-                received=self._bytes[("in", name)], sent=self._bytes[("out", name)],
+                "instance-sums",
+                instance=one.number,
+                seconds=used.pop(name),
+                memory=one.memory,
+                received=self._bytes[("in", name)],
+                sent=self._bytes[("out", name)],
                 writes=self._writes[("in", name)] + self._writes[("out", name)],
-                raft=self._bytes[("raft", name)], most_connections=self._most_open[name],
+                raft=self._bytes[("raft", name)],
+                most_connections=self._most_open[name],
                 requests=[n for (to, _), n in sorted(self._requests.items()) if to == name],
-            )  # fmt: skip
+            )
         for name, seconds in used.items():
             self.note("process-sums", process=name, seconds=seconds)
         for method, moments in self._asked.items():
--- a/ponddoor/rehearse/nodes.py
+++ b/ponddoor/rehearse/nodes.py
@@ -76,9 +76,15 @@
         assert self.world is not None
         site = self.day.site
         entry = Entry(
-            box.number, "", site.zones[box.cell % len(site.zones)], site.kinds[box.cell % len(site.kinds)],
-            box.cell, "ready", weight_of(site, box.cell), started_us,
-        )  # fmt: skip
+            box.number,
+            "",
+            site.zones[box.cell % len(site.zones)],
+            site.kinds[box.cell % len(site.kinds)],
+            box.cell,
+            "ready",
+            weight_of(site, box.cell),
+            started_us,
+        )
         server = Server(self.day, self.world, entry)
         host, port = await server.start()
         server.entry = msgspec.structs.replace(entry, address=f"{host}:{port}")
@@ -97,12 +103,16 @@
         settings = as_settings(facts, site.zones, site.kinds)
         settings |= {"me": me, "balancers": self.day.fronts, "zone": self._zone(me)}
         told = {
-            "name": f"n{me}", "listen": f"127.0.0.1:{viewers}", "board": "{}:{}".format(*self.list_links[me]),
+            "name": f"n{me}",
+            "listen": f"127.0.0.1:{viewers}",
+            "board": "{}:{}".format(*self.list_links[me]),
             "seed": f"{self.day.seed * 1_000_003 + self.draws * 7919 + me:x}",
-            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024}, "settings": settings,
-            "known": self.board.known(me), "peer_listen": f"127.0.0.1:{words}",
+            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
+            "settings": settings,
+            "known": self.board.known(me),
+            "peer_listen": f"127.0.0.1:{words}",
             "peers": ["{}:{}".format(*place) for place in self.word_ports],
-        }  # fmt: skip
+        }
         path = self.folder / f"node-{me}.json"
         beside = path.with_suffix(".new")
         beside.write_text(json.dumps(told))
--- a/ponddoor/rehearse/relay.py
+++ b/ponddoor/rehearse/relay.py
@@ -145,8 +145,14 @@
         host, got = server.sockets[0].getsockname()[:2]
         return str(host), int(got)
 
-    async def _accept(self, source: str, target: str, to: Address, reader: asyncio.StreamReader,
-                      writer: asyncio.StreamWriter) -> None:  # fmt: skip
+    async def _accept(
+        self,
+        source: str,
+        target: str,
+        to: Address,
+        reader: asyncio.StreamReader,
+        writer: asyncio.StreamWriter,
+    ) -> None:
         if len(self._wires) >= self.most_wires:
             # Guards against a fleet that tries anew while this process lags: it would take all descriptors,
             # and then do nothing but say so.
--- a/ponddoor/rehearse/run.py
+++ b/ponddoor/rehearse/run.py
@@ -315,9 +315,13 @@
     def _front_form(self, front: int, viewers: int, words: tuple[str, int], metrics: int) -> Listing:
         zone = self.day.site.zones[self._zone(front)]
         return form(
-            "front", word(str(front)), form("zone", word(zone)), form("viewers", f"127.0.0.1:{viewers}"),
-            form("words", f"{words[0]}:{words[1]}"), form("metrics", f"127.0.0.1:{metrics}"),
-        )  # fmt: skip
+            "front",
+            word(str(front)),
+            form("zone", word(zone)),
+            form("viewers", f"127.0.0.1:{viewers}"),
+            form("words", f"{words[0]}:{words[1]}"),
+            form("metrics", f"127.0.0.1:{metrics}"),
+        )
 
     def _site(self, me: int) -> Listing:
         """The day's site at this run's addresses, as front `me` is to see it, or the stand-ins (`OWN`)."""
@@ -347,10 +351,18 @@
         log = (self.folder / f"{name}.log").open("ab")
         with log:
             return await asyncio.create_subprocess_exec(
-                sys.executable, "-m", "ponddoor.cli", *arguments, "--site",
-                str(self.folder / f"site-{site}.pond"), "--record", str(self.folder / f"{name}.rec"),
-                stdin=asyncio.subprocess.DEVNULL, stdout=log, stderr=log,
-            )  # fmt: skip
+                sys.executable,
+                "-m",
+                "ponddoor.cli",
+                *arguments,
+                "--site",
+                str(self.folder / f"site-{site}.pond"),
+                "--record",
+                str(self.folder / f"{name}.rec"),
+                stdin=asyncio.subprocess.DEVNULL,
+                stdout=log,
+                stderr=log,
+            )
 
     async def _start_box(self, box: Box, warm: bool) -> None:
         site = self.day.site
@@ -408,9 +420,17 @@
         out = self.folder / "players.json"
         ports = (part for viewers, _, _ in self.front_ports for part in ("--front", f"127.0.0.1:{viewers}"))
         players = await self._spawn(
-            "players", "standin", "players", "--day", str(self.folder / "day.json"), "--begin", repr(begin),
-            "--out", str(out), *ports,
-        )  # fmt: skip
+            "players",
+            "standin",
+            "players",
+            "--day",
+            str(self.folder / "day.json"),
+            "--begin",
+            repr(begin),
+            "--out",
+            str(out),
+            *ports,
+        )
         self.others.append(players)
         await self._begins(begin)
         troubles = [asyncio.create_task(self._trouble(begin, trouble)) for trouble in self.day.troubles]
--- a/ponddoor/seats/core.py
+++ b/ponddoor/seats/core.py
@@ -261,8 +261,12 @@
     def state(self) -> list[Any]:
         """All of it as records, for a snapshot."""
         seats = [_seat_record(seat) for share in self.shares.values() for seat in share.seats.values()]
-        lent = [["lent", *key, peer, lent.count] for key, book in self.books.items()
-                for peer, lent in book.lent.items() if lent.count]  # fmt: skip
+        lent = [
+            ["lent", *key, peer, lent.count]
+            for key, book in self.books.items()
+            for peer, lent in book.lent.items()
+            if lent.count
+        ]
         return [["begun", self.epoch], *seats, *lent]
 
     # What is asked of this front
--- a/ponddoor/seats/measure.py
+++ b/ponddoor/seats/measure.py
@@ -181,8 +181,12 @@
     waits = sorted((fleet.answers[n][0] - asked[n]) / 1000 for n in granted)
     wrong = sum(free_at[n] and isinstance(got, Refused) for n, (_, got) in fleet.answers.items())
     return {
-        "fronts": float(fronts), "asked": float(ticket), "granted": float(len(granted)),
-        "messages_per_grant": fleet.messages / max(1, len(granted)), "grant_ms_p50": waits[len(waits) // 2],
-        "grant_ms_p99": waits[len(waits) * 99 // 100], "refused_while_free": wrong / ticket,
+        "fronts": float(fronts),
+        "asked": float(ticket),
+        "granted": float(len(granted)),
+        "messages_per_grant": fleet.messages / max(1, len(granted)),
+        "grant_ms_p50": waits[len(waits) // 2],
+        "grant_ms_p99": waits[len(waits) * 99 // 100],
+        "refused_while_free": wrong / ticket,
         "idle_elsewhere": sum(idle) / len(idle),
-    }  # fmt: skip
+    }
--- a/ponddoor/seats/simulation.py
+++ b/ponddoor/seats/simulation.py
@@ -351,11 +351,19 @@
     """A schedule of any shape."""
     rng = Random(seed * 7919 + 1)
     return Schedule(
-        seed, fronts=rng.choice([2, 3, 3, 5]), viewers=rng.randint(4, 24), limit=rng.randint(1, 8),
-        seconds=rng.randint(10, 40), loss=rng.choice([0, 0.1, 0.3]), double=rng.choice([0, 0.1, 0.3]),
-        slow=rng.choice([0, 0.05, 0.2]), crashes=rng.randint(0, 8), disk_losses=rng.choice([0, 0, 0.3]),
-        drift=rng.choice([0, 0.01]), cuts=rng.choice([0, 0, 1, 3]),
-    )  # fmt: skip
+        seed,
+        fronts=rng.choice([2, 3, 3, 5]),
+        viewers=rng.randint(4, 24),
+        limit=rng.randint(1, 8),
+        seconds=rng.randint(10, 40),
+        loss=rng.choice([0, 0.1, 0.3]),
+        double=rng.choice([0, 0.1, 0.3]),
+        slow=rng.choice([0, 0.05, 0.2]),
+        crashes=rng.randint(0, 8),
+        disk_losses=rng.choice([0, 0, 0.3]),
+        drift=rng.choice([0, 0.01]),
+        cuts=rng.choice([0, 0, 1, 3]),
+    )
 
 
 def explore(
--- a/ponddoor/seats/tokens.py
+++ b/ponddoor/seats/tokens.py
@@ -35,9 +35,16 @@
 def made(token: Token, key: bytes) -> str:
     """The signed text of a token."""
     claims = {
-        "iss": ISSUER, "sub": token.viewer, "aud": token.tenant, "ent": token.entitlement, "sid": token.sess,
-        "seat": token.seat, "gen": token.generation, "front": token.front, "exp": token.expires / 1_000_000,
-    }  # fmt: skip
+        "iss": ISSUER,
+        "sub": token.viewer,
+        "aud": token.tenant,
+        "ent": token.entitlement,
+        "sid": token.sess,
+        "seat": token.seat,
+        "gen": token.generation,
+        "front": token.front,
+        "exp": token.expires / 1_000_000,
+    }
     return jwt.encode(claims, key, ALGORITHM)
 
 
@@ -51,10 +58,15 @@
             text, key, [ALGORITHM], options={"verify_exp": False, "verify_aud": False}, issuer=ISSUER
         )
         return Token(
-            str(claims["aud"]), str(claims["ent"]), str(claims["sub"]), str(claims["sid"]),
-            str(claims["seat"]), int(claims["gen"]), int(claims["front"]),
+            str(claims["aud"]),
+            str(claims["ent"]),
+            str(claims["sub"]),
+            str(claims["sid"]),
+            str(claims["seat"]),
+            int(claims["gen"]),
+            int(claims["front"]),
             round(float(claims["exp"]) * 1_000_000),
-        )  # fmt: skip
+        )
     except jwt.InvalidSignatureError:
         raise TokenError("forged-token") from None
     except (jwt.PyJWTError, KeyError, ValueError, TypeError, OverflowError):
--- a/ponddoor/server_table.py
+++ b/ponddoor/server_table.py
@@ -215,5 +215,3 @@
     at = bisect.bisect_left(servers, server.order, key=_by_order)
     assert servers[at] is server
     del servers[at]
-
-
--- a/ponddoor/settings/site.py
+++ b/ponddoor/settings/site.py
@@ -522,9 +522,13 @@
         limits[key] = one.whole("limit", None, 0)
         one.done(words=1)
     terms = SeatTerms(
-        limits, held.time("token", 10 * SECOND, 100_000), held.time("lease", 30 * SECOND, 300_000),
-        held.number("drift", 0.01, 0, 0.2), held.time("borrow-wait", SECOND // 2, 1000),
-        held.time("come-back", SECOND))  # fmt: skip
+        limits,
+        held.time("token", 10 * SECOND, 100_000),
+        held.time("lease", 30 * SECOND, 300_000),
+        held.number("drift", 0.01, 0, 0.2),
+        held.time("borrow-wait", SECOND // 2, 1000),
+        held.time("come-back", SECOND),
+    )
     if terms.lease < 2 * terms.token:
         held.problem(
             held.place, f"a lease of {terms.lease}us for tokens of {terms.token}us", "twice a token's life"
--- a/ponddoor/simhost/codec.py
+++ b/ponddoor/simhost/codec.py
@@ -24,9 +24,16 @@
     """An instance is gone with all it held."""
 
 
-_RESULTS = {100: ev.Result.SERVED, 301: ev.Result.ERROR, 302: ev.Result.FULL, 303: ev.Result.TIMEOUT,
-            304: ev.Result.CONNECT_FAILED, 305: ev.Result.RESET, 306: ev.Result.CANCELLED,
-            307: ev.Result.MOOT}
+_RESULTS = {
+    100: ev.Result.SERVED,
+    301: ev.Result.ERROR,
+    302: ev.Result.FULL,
+    303: ev.Result.TIMEOUT,
+    304: ev.Result.CONNECT_FAILED,
+    305: ev.Result.RESET,
+    306: ev.Result.CANCELLED,
+    307: ev.Result.MOOT,
+}
 _EVERY_PEER = 0xFFFFFFFF
 _ROW = struct.Struct(">IHHHBfd")
 _REQUEST = struct.Struct(">IHHQQddfffB")
@@ -52,7 +59,7 @@
         end = self._at + size
         if end > len(self._body):
             raise MalformedError(f"{self._what}: cut short")
-        piece = self._body[self._at:end]
+        piece = self._body[self._at : end]
         self._at = end
         return piece
 
@@ -80,10 +87,10 @@
             at += _RECORD.size
             if at + size > len(body):
                 raise MalformedError(f"record of code {code}: {size} bytes told, {len(body) - at} there")
-            fields = _Fields(body[at:at + size], f"record of code {code}")
+            fields = _Fields(body[at : at + size], f"record of code {code}")
             at += size
             if code == 10:
-                front, = fields.take(_U32)
+                (front,) = fields.take(_U32)
             elif code == 12:
                 self._read_list(fields)
             elif front is None:
@@ -94,14 +101,15 @@
             raise MalformedError(f"{len(body) - at} bytes after the last record")
 
     def _read_list(self, fields: _Fields) -> None:
-        number, = fields.take(_U8)
+        (number,) = fields.take(_U8)
         rows = []
         for _ in range(fields.take(_U32)[0]):
             server, zone, kind, cell, state, weight, started = fields.take(_ROW)
             if state not in (0, 1, 2):
                 raise MalformedError(f"server state {state}")
-            rows.append(ev.ServerRow(server, zone, kind, cell, ev.ServerState(state), weight,
-                                     micros(started)))
+            rows.append(
+                ev.ServerRow(server, zone, kind, cell, ev.ServerState(state), weight, micros(started))
+            )
         self._lists[number] = tuple(rows)
 
     def _event(self, front: int, code: int, fields: _Fields) -> Boot | Killed | ev.Event:
@@ -137,8 +145,15 @@
                 return ev.Started(req_id, attempt, server, micros(lag))
             case 9:
                 req_id, server, result, attempt, final, lag = fields.take(_RETURNED)
-                return ev.Ended(req_id, attempt, server, _result(result), bool(final), micros(lag),
-                                self._report(front, fields))
+                return ev.Ended(
+                    req_id,
+                    attempt,
+                    server,
+                    _result(result),
+                    bool(final),
+                    micros(lag),
+                    self._report(front, fields),
+                )
             case 2:
                 server, lag, result = fields.take(_STATUS)
                 return ev.Probed(server, micros(lag), _result(result), self._report(front, fields))
@@ -153,7 +168,7 @@
                 raise MalformedError(f"unknown event code {code}")
 
     def _report(self, front: int, fields: _Fields) -> dict[str, float]:
-        size, = fields.take(_U8)
+        (size,) = fields.take(_U8)
         values = fields.take(struct.Struct(f">{size}f"))
         return dict(zip(self._report_fields.get(front, ()), values, strict=False))
 
@@ -168,9 +183,20 @@
     req_id, group, tenant, key, title, left, hint, home, span, top, bits = fields.take(_REQUEST)
     if not all(map(math.isfinite, (home, span, top))):
         raise MalformedError(f"request {req_id}: home {home}, span {span}, top {top}")
-    return ev.SessionRequest(req_id, group, tenant, key, title, micros(left),
-                             micros(hint) if bits & _HINT else None, int(home), int(span), int(top),
-                             bool(bits & _MOVED), bool(bits & _AGAIN))
+    return ev.SessionRequest(
+        req_id,
+        group,
+        tenant,
+        key,
+        title,
+        micros(left),
+        micros(hint) if bits & _HINT else None,
+        int(home),
+        int(span),
+        int(top),
+        bool(bits & _MOVED),
+        bool(bits & _AGAIN),
+    )
 
 
 def encode(front: int, wanted: list[act.Action]) -> bytes:
--- a/ponddoor/simhost/host.py
+++ b/ponddoor/simhost/host.py
@@ -30,8 +30,9 @@
         sink.flush()
 
 
-def _handle(drivers: dict[int, Driver], front: int, now: int,
-            event: codec.Boot | codec.Killed | Event) -> bytes:
+def _handle(
+    drivers: dict[int, Driver], front: int, now: int, event: codec.Boot | codec.Killed | Event
+) -> bytes:
     if isinstance(event, codec.Killed):
         drivers.pop(front, None)
         return b""
--- a/ponddoor/standins/listing.py
+++ b/ponddoor/standins/listing.py
@@ -157,8 +157,11 @@
             else:
                 self.spawn(self.publish_late(beat.entry))
         racks = self.site.facts.plant.racks
-        return sum(other.asked_kb for number, (_, other) in self.beats.items()
-                   if number != server and other.entry.cell % racks == beat.entry.cell % racks)  # fmt: skip
+        return sum(
+            other.asked_kb
+            for number, (_, other) in self.beats.items()
+            if number != server and other.entry.cell % racks == beat.entry.cell % racks
+        )
 
     def whole(self) -> ListMessage:
         rows = [entry for entry in self.entries.values() if entry.state != "gone"]
@@ -171,8 +174,9 @@
                 first = next((i for i, m in enumerate(self.changes) if m.since == version), None)
                 for message in self.changes[first:] if first is not None else [self.whole()]:
                     rows = [[entry.server, entry.state, entry.started_us] for entry in message.servers]
-                    self.rec.note("told", front=front, version=message.version, rows=rows,
-                                  full=message.since is None)  # fmt: skip
+                    self.rec.note(
+                        "told", front=front, version=message.version, rows=rows, full=message.since is None
+                    )
                     yield msgspec.json.encode(message) + b"\n"
                     version = message.version
                 continue
--- a/ponddoor/standins/media.py
+++ b/ponddoor/standins/media.py
@@ -308,11 +308,21 @@
         dynamic = cmsd.write_dynamic([self.hop(rate * speed)])
         if self.site.hints and held is not None and held[1].qsize() < 1000:
             carried = {name: text for name, text in request.headers.items() if name.startswith("cmcd-")}
-            held[1].put_nowait({"note": "hints", "sess": sess, "cmcd": carried, "value": rate / takes,
-                                "cmsd": {"dynamic": dynamic}})  # fmt: skip
+            held[1].put_nowait(
+                {
+                    "note": "hints",
+                    "sess": sess,
+                    "cmcd": carried,
+                    "value": rate / takes,
+                    "cmsd": {"dynamic": dynamic},
+                }
+            )
         fixed = {"br": round(rate * 8), "d": 1000, "ot": "v", "st": "v", "ht": round(takes * 1000)}
-        headers = (("Content-Type", "video/mp4"), (cmsd.STATIC, cmsd.write_static(fixed)),
-                   (cmsd.DYNAMIC, dynamic))  # fmt: skip
+        headers = (
+            ("Content-Type", "video/mp4"),
+            (cmsd.STATIC, cmsd.write_static(fixed)),
+            (cmsd.DYNAMIC, dynamic),
+        )
         return Reply(200, bytes(round(rate * 10)), headers)
 
     def hop(self, kb: float) -> cmsd.Hop:
--- a/ponddoor/standins/platform.py
+++ b/ponddoor/standins/platform.py
@@ -37,8 +37,9 @@
 class Board:
     """The notice board: numbered events, each second the last number. `down` is "", "refuses" or "hangs"."""
 
-    def __init__(self, rec: Recorder, whose: Callable[[int], int], at: Callable[[int, Entry], str],
-                 capacity: Capacity) -> None:  # fmt: skip
+    def __init__(
+        self, rec: Recorder, whose: Callable[[int], int], at: Callable[[int, Entry], str], capacity: Capacity
+    ) -> None:
         self.rec, self.whose, self.at, self.capacity = rec, whose, at, capacity
         self.events: list[tuple[bool, tuple[Entry, ...]]] = []
         self.entries: dict[int, Entry] = {}
@@ -173,8 +174,9 @@
 
     def asked(self) -> float:
         facts = self.day.site.facts
-        return sum(facts.ladder.rate_kb[s.rung] * facts.groups[s.group].rate_factor
-                   for s in self.streams.values())  # fmt: skip
+        return sum(
+            facts.ladder.rate_kb[s.rung] * facts.groups[s.group].rate_factor for s in self.streams.values()
+        )
 
     def report(self) -> str:
         fields = self.world.report_fields
@@ -531,8 +533,13 @@
         place = site.titles.find(viewer.title)
         home, span = (place.home, place.span) if place is not None else (0, site.facts.plant.cells)
         figures = f"home:{home};copies:{span};top:{viewer.top};viewer:{viewer.number:016x}"
-        told = {129: self.world.groups[viewer.group], 130: wait, 133: xxhash.xxh64_hexdigest(viewer.title),
-                134: figures + (f";at:{at}" if at else ""), 144: f"of {viewer.number}\r\n"}  # fmt: skip
+        told = {
+            129: self.world.groups[viewer.group],
+            130: wait,
+            133: xxhash.xxh64_hexdigest(viewer.title),
+            134: figures + (f";at:{at}" if at else ""),
+            144: f"of {viewer.number}\r\n",
+        }
         return [(code, text.encode()) for code, text in told.items()]
 
     def close(self) -> None:
--- a/ponddoor/state.py
+++ b/ponddoor/state.py
@@ -13,7 +13,6 @@
 __all__ = ["LONG_AGO", "Chance", "Pipe", "Server", "Sess"]
 
 
-
 @dataclass(slots=True)
 class Pipe:
     """A server's link or a rack's uplink: what is told of it, what we know to ask of it, and its reports."""
@@ -50,7 +49,7 @@
     over: bool = False
     began: int | None = None
     attempts: list[tuple[int, int, ev.Result | None]] = field(default_factory=list)  # (server, sent at, end)
-    means: ev.Means | None = None           # what its player can take, by its last word
+    means: ev.Means | None = None  # what its player can take, by its last word
 
     def rate(self, rung: int) -> float:
         return self.ladder.rate_kb[rung] * self.group.rate_factor
@@ -67,7 +66,7 @@
     kept: list[tuple[int, int, int]] = field(default_factory=list)  # (when, home, span)
 
     def note(self, at: int, home: int, span: int) -> None:
-        self.kept = [*self.kept[1 - self.most:], (at, home, span)]
+        self.kept = [*self.kept[1 - self.most :], (at, home, span)]
 
     def rate(self, now: int, span: int, place: tuple[int, int] | None = None) -> float:
         """Arrivals a second: of a busy front the samples reach back less than the span (us). Where a place is
@@ -88,13 +87,13 @@
     `changed` are the servers of which something is known since, to be reckoned anew in a large rack."""
 
     at: int
-    known: list[tuple[int, float]]    # the rack's, by identity: another one where the account has changed
-    rooms: dict[int, float]           # of each link
+    known: list[tuple[int, float]]  # the rack's, by identity: another one where the account has changed
+    rooms: dict[int, float]  # of each link
     asked: dict[int, float]
-    open_kb: float                    # the sum of the rooms over 0
-    in_all: float                     # of what is asked
-    spare: float = 0.0                # of the uplink
-    turn: int = 0                     # the first link that was reckoned in turn last
+    open_kb: float  # the sum of the rooms over 0
+    in_all: float  # of what is asked
+    spare: float = 0.0  # of the uplink
+    turn: int = 0  # the first link that was reckoned in turn last
     changed: set[int] = field(default_factory=set)
 
     @property
@@ -122,24 +121,24 @@
     row: ev.ServerRow
     link: Pipe
     sessions: dict[int, Sess] = field(default_factory=dict)
-    ends: list[tuple[int, bool]] = field(default_factory=list)    # (when, whether it went well)
+    ends: list[tuple[int, bool]] = field(default_factory=list)  # (when, whether it went well)
     notes: list[tuple[int, float]] = field(default_factory=list)  # (when, share delivered)
-    warm_at: int = LONG_AGO                 # when a keeper's word last said that it is warm
-    grant: int = LONG_AGO                   # when we asked for the grant that we have not used
-    tried: int = LONG_AGO                   # when we last let a front try it for all
+    warm_at: int = LONG_AGO  # when a keeper's word last said that it is warm
+    grant: int = LONG_AGO  # when we asked for the grant that we have not used
+    tried: int = LONG_AGO  # when we last let a front try it for all
     sent: int = LONG_AGO
-    inquired: int = LONG_AGO                # when it was last probed for an arrival
+    inquired: int = LONG_AGO  # when it was last probed for an arrival
     heard: tuple[int, float] | None = None  # a report that came to us and is still to be told
-    felt: tuple[int, float] | None = None   # a note on the share delivered, likewise
-    ended: bool = False                     # and the end of a set-up
-    reported: float = 0.0                   # the link as last reported, whatever short notes say
-    said: float = 0.0                       # our rate there as last told
-    said_warm: bool = False                 # and whether we had an old session there
+    felt: tuple[int, float] | None = None  # a note on the share delivered, likewise
+    ended: bool = False  # and the end of a set-up
+    reported: float = 0.0  # the link as last reported, whatever short notes say
+    said: float = 0.0  # our rate there as last told
+    said_warm: bool = False  # and whether we had an old session there
     told: tuple[int, float, float] = (LONG_AGO, 0.0, 0.0)  # a keeper's: when, idle and asked, without ours
-    ours: float | None = None               # the sum of our sessions' rates, while it holds
-    lost: int | None = None                 # when it was last seen to be down
-    back: int = LONG_AGO                    # when it was first seen to be up again
-    order: int = 0                          # among all servers, by when the list first named it
+    ours: float | None = None  # the sum of our sessions' rates, while it holds
+    lost: int | None = None  # when it was last seen to be down
+    back: int = LONG_AGO  # when it was first seen to be up again
+    order: int = 0  # among all servers, by when the list first named it
 
     def own(self) -> float:
         """What our sessions ask of it; viewers of one live title at one rung share a stream."""
--- a/ponddoor/store/committer.py
+++ b/ponddoor/store/committer.py
@@ -18,8 +18,13 @@
     `durable` is told the newest number, `failed` why nothing will become durable any more; a full disk is
     tried again every `again` seconds."""
 
-    def __init__(self, journal: Journal, durable: Callable[[int], None], failed: Callable[[str], None],
-                 again: float = 0.5) -> None:  # fmt: skip
+    def __init__(
+        self,
+        journal: Journal,
+        durable: Callable[[int], None],
+        failed: Callable[[str], None],
+        again: float = 0.5,
+    ) -> None:
         self._journal, self._durable, self._failed, self._again = journal, durable, failed, again
         self._task: asyncio.Task[None] | None = None
         self._wanted = False
--- a/ponddoor/web/server.py
+++ b/ponddoor/web/server.py
@@ -179,7 +179,6 @@
             if not self._by_address[peer]:
                 del self._by_address[peer]
 
-
     async def _linger(self, connection: "_Connection") -> None:
         """A close in stages (RFC 9112, section 9.6): with bytes unread it would reset the connection, which
         may destroy the last answer."""
--- a/tests/capacity/test_measure.py
+++ b/tests/capacity/test_measure.py
@@ -145,8 +145,9 @@
     assert done.exit_code == 0, done.output
     found = records.read(out)
     assert {(one.size, one.repetition, one.seed, one.how, one.of) for one in found} == {
-        (8, 0, 3, "virtual", "fronts"), (8, 1, 3, "virtual", "fronts")
-    }  # fmt: skip
+        (8, 0, 3, "virtual", "fronts"),
+        (8, 1, 3, "virtual", "fronts"),
+    }
     assert {"know.dead.p99", "know.alive.p99", "know.wrong"} <= {one.what for one in found}
 
 
@@ -182,11 +183,14 @@
     return False
 
 
-@pytest.mark.parametrize("arguments, told", [
-    (("know", "--size", "1000000000"), "fronts, 2 to "),
-    (("know", "--size", "1"), "1 fronts, 2 to "),
-    (("control", "--under", "storm"), "no condition storm, expected calm"),
-])  # fmt: skip
+@pytest.mark.parametrize(
+    "arguments, told",
+    [
+        (("know", "--size", "1000000000"), "fronts, 2 to "),
+        (("know", "--size", "1"), "1 fronts, 2 to "),
+        (("control", "--under", "storm"), "no condition storm, expected calm"),
+    ],
+)
 def test_what_can_not_be_measured_is_refused(tmp_path: Path, arguments: tuple[str, ...], told: str) -> None:
     out = tmp_path / "none.jsonl"
     done = command(*arguments, "--seed", "1", "--out", str(out))
--- a/tests/capacity/test_projection.py
+++ b/tests/capacity/test_projection.py
@@ -29,9 +29,17 @@
     return load_target(ROOT / "docs" / "capacity" / "target.pond")
 
 
-def records(what: str, under: str, of: str, unit: str, sizes: tuple[float, ...],
-            figure: Callable[[float], float], repetitions: int = 3, commit: str = "a",
-            how: str = "virtual") -> list[Record]:  # fmt: skip
+def records(
+    what: str,
+    under: str,
+    of: str,
+    unit: str,
+    sizes: tuple[float, ...],
+    figure: Callable[[float], float],
+    repetitions: int = 3,
+    commit: str = "a",
+    how: str = "virtual",
+) -> list[Record]:
     return [
         Record(what=what, under=under, of=of, size=size, repetition=k, seed=k, figure=figure(size), unit=unit,
                how=how, commit=commit, cores=8, command="made up")
@@ -41,8 +49,12 @@
 
 
 def only(target: Target, held: list[Record]) -> Projection:
-    row = next(row for role in ROLES for row in role.rows
-               if (row.what, row.under, row.of) == (held[0].what, held[0].under, held[0].of))  # fmt: skip
+    row = next(
+        row
+        for role in ROLES
+        for row in role.rows
+        if (row.what, row.under, row.of) == (held[0].what, held[0].under, held[0].of)
+    )
     return project(target, held)[row.what, row.under, row.of][0]
 
 
@@ -148,7 +160,10 @@
             (tmp_path / one.row.module).touch()
     found = ranking(every, target, tmp_path)
     assert [(one.first.row.what, one.missing) for one in found] == [
-        ("config.bytes.with-headers", True), ("control.cpu", False), ("resize.stretch", False)]  # fmt: skip
+        ("config.bytes.with-headers", True),
+        ("control.cpu", False),
+        ("resize.stretch", False),
+    ]
     assert found[0].fronts == 1
     assert found[1].fronts == pytest.approx(100) and found[1].first.row.under == "roll"
     assert found[2].fronts == pytest.approx(0.2 / 1.4e-5 / target.sessions * 820)
--- a/tests/config/test_api.py
+++ b/tests/config/test_api.py
@@ -131,9 +131,13 @@
             assert dry.json() == {"version": 4, "why": "", "dry_run": True}
             bad = await world.call("PUT", "/config/items/ladder", put("(ladder)"))
             assert bad.status == 422 and bad.json()["title"] == "unusable" and bad.json()["problems"]
-            for method, path, status in (("GET", "/config/items/none", 404), ("GET", "/none", 404),
-                                         ("POST", "/config/items/x", 405), ("GET", "/config?limit=0", 422),
-                                         ("GET", "/config/difference?from=9", 404)):  # fmt: skip
+            for method, path, status in (
+                ("GET", "/config/items/none", 404),
+                ("GET", "/none", 404),
+                ("POST", "/config/items/x", 405),
+                ("GET", "/config?limit=0", 422),
+                ("GET", "/config/difference?from=9", 404),
+            ):
                 assert (await world.call(method, path)).status == status
             assert (await world.call("POST", "/config", {"who": "x"})).status == 422
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -222,8 +222,9 @@
             lend = options.get("lend", 0)
             word = words.Answer(life, self.asked.get(peer, 0), lend, rooms if numbers else ())
         elif kind == "holders":
-            home, span, zone = (options.get(name, usual) for name, usual in
-                                (("home", 0), ("span", 8), ("zone", 0)))  # fmt: skip
+            home, span, zone = (
+                options.get(name, usual) for name, usual in (("home", 0), ("span", 8), ("zone", 0))
+            )
             word = words.AskHolders(1, home, span, zone)
         elif kind == "begun":
             word = words.Begun(life)
--- a/tests/fleet/test_cold_sum.py
+++ b/tests/fleet/test_cold_sum.py
@@ -173,8 +173,9 @@
 @pytest.mark.parametrize("case", ["told, no messages", "not told, its connections broke"])
 def test_without_turns_the_sum_does_not_hold(case: str, monkeypatch: pytest.MonkeyPatch) -> None:
     """Each front spaced by its share alone, the first send free: what a lost server got before."""
-    monkeypatch.setattr(Front, "paced_until", lambda self, server: (
-        server.sent + self.slot(server) * self.facts.fronts))  # fmt: skip
+    monkeypatch.setattr(
+        Front, "paced_until", lambda self, server: (server.sent + self.slot(server) * self.facts.fronts)
+    )
     over = []
     for seed in (1, 2, 3):
         fleet = Fleet(30, seed, **CASES[case])
--- a/tests/fleet/test_fleet.py
+++ b/tests/fleet/test_fleet.py
@@ -271,14 +271,17 @@
 def test_a_server_that_fails_for_all_is_found_out_together(days: "dict[str, Future[Played]]") -> None:
     together, alone = days["failing"].result(), days["failing each alone"].result()
     assert at_failing(together) < 0.7 * at_failing(alone), (at_failing(together), at_failing(alone))
-    assert len(who_says(together, "\"mechanism\": \"avoid\"")) >= 3
+    assert len(who_says(together, '"mechanism": "avoid"')) >= 3
 
 
 def test_a_front_that_begins_waits_for_no_donor(days: "dict[str, Future[Played]]") -> None:
     """Its viewers are answered, though who is asked stands still and a third of all words go astray."""
     played = days["donors"].result()
-    killed = {int(row["process"].partition(" ")[2]) for row in played.rows
-              if row["what"] == "killed" and row["process"].startswith("front ")}  # fmt: skip
+    killed = {
+        int(row["process"].partition(" ")[2])
+        for row in played.rows
+        if row["what"] == "killed" and row["process"].startswith("front ")
+    }
     again = {me: max(at for at in played.at("began", front=me)) for me in killed}
     for me, at in again.items():
         answers = [row["at"] for row in played.rows if row["what"] == "answer" and row["front"] == me]
--- a/tests/following/test_core.py
+++ b/tests/following/test_core.py
@@ -115,17 +115,24 @@
     machine.apply(1, packed(Change("a", "b", 1, taken_apart(parse(BASE, "-")))))
     part = "(group {} (start-target 1s) (setup-timeout 2s))"
     front = Front().begun(1)
-    for index, (sets, drops) in enumerate([
-        ({"groups/z": part.format("z"), "groups/a": part.format("a")}, []),
-        ({"titles/z": "(title z (home 0) (span 1))", "groups/b": part.format("b")}, ["groups/film"]),
-        ({"groups/film": part.format("film"), "groups/news": part.format("news")}, ["titles/opera"]),
-    ], 2):  # fmt: skip
+    for index, (sets, drops) in enumerate(
+        [
+            ({"groups/z": part.format("z"), "groups/a": part.format("a")}, []),
+            ({"titles/z": "(title z (home 0) (span 1))", "groups/b": part.format("b")}, ["groups/film"]),
+            ({"groups/film": part.format("film"), "groups/news": part.format("news")}, ["titles/opera"]),
+        ],
+        2,
+    ):
         machine.apply(index, packed(Change("a", "b", 1, sets, drops)))
         steps = [
-            {"key": step.key, "before": step.before, "after": step.after,
-             "place": machine.items[step.key].place if step.after else 0}
+            {
+                "key": step.key,
+                "before": step.before,
+                "after": step.after,
+                "place": machine.items[step.key].place if step.after else 0,
+            }
             for step in machine.history[-1].steps
-        ]  # fmt: skip
+        ]
         digest = digest_of(assembled(machine.items))
         front.line(msgspec.json.encode({"version": index, "steps": steps, "digest": digest})).wait(SECOND)
         assert (front.core.version, front.core.digest) == (index, digest)
@@ -228,10 +235,18 @@
     assert front.taken() == [FIRST, FIRST + 1, FIRST + 2]
 
 
-@pytest.mark.parametrize("text, digest", [
-    ("", ""), ("(site", ""), ("(" * 50_000, ""), (LOG[40].text, LOG[41].digest), (LOG[40].text[:-9], ""),
-    ("(cluster x)", ""),
-], ids=range(6))  # fmt: skip
+@pytest.mark.parametrize(
+    "text, digest",
+    [
+        ("", ""),
+        ("(site", ""),
+        ("(" * 50_000, ""),
+        (LOG[40].text, LOG[41].digest),
+        (LOG[40].text[:-9], ""),
+        ("(cluster x)", ""),
+    ],
+    ids=range(6),
+)
 def test_a_whole_state_that_is_not_whole(text: str, digest: str) -> None:
     front = Front().begun(FIRST - 1).lines(FIRST, FIRST)
     front.on(front.core.not_kept(front.now, front.core.at))
@@ -310,10 +325,12 @@
     kept = Front().begun(FIRST).disk
     at = kept.index(b"\n")
     spoilt = {
-        "cut off": kept[:-5], "body": kept[: at + 50] + b"?" + kept[at + 51 :],
-        "head": kept[:20] + b"9" + kept[21:], "format": kept.replace(b'"format":1', b'"format":2', 1),
+        "cut off": kept[:-5],
+        "body": kept[: at + 50] + b"?" + kept[at + 51 :],
+        "head": kept[:20] + b"9" + kept[21:],
+        "format": kept.replace(b'"format":1', b'"format":2', 1),
         "long": kept + b" " * 20_000_000,
-    }[how]  # fmt: skip
+    }[how]
     front = Front(spoilt)
     assert front.said() == ["config-kept-unusable"] and front.taken() == []
     assert front.core.floor == (
--- a/tests/following/test_days.py
+++ b/tests/following/test_days.py
@@ -88,10 +88,16 @@
     instances = ["instance 0", "instance 1"]
     cut = {"ways": [[["front 1"], instances], [instances, ["front 1"]]], "fault": {"cut": True}}
     found = judged(
-        sent(2), sent(3), committed(1, 2), committed(2, 3),
-        taken(1.25, 0, 2), taken(2.5, 0, 3),
-        row(0.9, "link-fault", **cut), row(8, "link-whole", **cut), taken(8.5, 1, 3),
-    )  # fmt: skip
+        sent(2),
+        sent(3),
+        committed(1, 2),
+        committed(2, 3),
+        taken(1.25, 0, 2),
+        taken(2.5, 0, 3),
+        row(0.9, "link-fault", **cut),
+        row(8, "link-whole", **cut),
+        taken(8.5, 1, 3),
+    )
     assert [one.after for one in found.spreads] == [[0.25, 0.5], [0.5, 0.5]]
     assert found.figures["config.in-force.all"] == (0.5, "s")
     assert found.figures["config.in-force.returned.all"] == (0.5, "s")
--- a/tests/following/test_front.py
+++ b/tests/following/test_front.py
@@ -235,9 +235,9 @@
         ("(limits", "(prices (probe 1)) (limits", "prices"),
         ("(limits", "(entitlements (entitlement e (limit 1))) (limits", "none at this front's start"),
         ("(limits", "(entitlements (lease 40s)) (limits", "entitlements' times"),
-        ("(limits", '(tenants (tenant t (share 1) (quota 5))) (limits', "tenants"),
+        ("(limits", "(tenants (tenant t (share 1) (quota 5))) (limits", "tenants"),
     ],
-)  # fmt: skip
+)
 def test_what_a_front_in_service_does_not_take(old: str, new: str, why: str) -> None:
     text = site_text(ports=[1, 2, 3], list_port=9)
     assert text.count(old) == 1
--- a/tests/following/test_rollout.py
+++ b/tests/following/test_rollout.py
@@ -43,8 +43,12 @@
     held = Reports()
     first, second, reborn = report(number=1), report(number=2, version=4), report(life=2, version=1)
     assert [held.take(now, one) for now, one in enumerate((second, first, second, reborn, second))] == [
-        "", "old", "old", "", "old",
-    ]  # fmt: skip
+        "",
+        "old",
+        "old",
+        "",
+        "old",
+    ]
     assert held.held[0] == (reborn, 3) and held.counts == {"taken": 2, "old": 3}
 
 
@@ -98,8 +102,10 @@
 def test_who_was_never_heard_is_missed_where_their_number_is_known() -> None:
     found = merged([told(0, row(0)), told(1, row(9))], {2: "refused"}, fronts=3)
     assert [(stand.front, stand.how) for stand in found.stands] == [
-        (0, "in-force"), (1, "unheard"), (2, "unheard"),
-    ]  # fmt: skip
+        (0, "in-force"),
+        (1, "unheard"),
+        (2, "unheard"),
+    ]
     said = lines(found)
     assert "instance 2 is out of reach: refused" in said and "front 1 unheard" in said and not found.whole
 
@@ -124,8 +130,15 @@
         async with served(tmp_path) as world:
             world.made[0].reports.most = 1
             good: dict[str, Any] = msgspec.to_builtins(report())
-            for spoil in ({"front": -1}, {"version": -1}, {"life": "x"}, {"why": "w" * 201}, {"more": 1},
-                          {"digest": "d" * 41}, {"number": 1 << 63}):  # fmt: skip
+            for spoil in (
+                {"front": -1},
+                {"version": -1},
+                {"life": "x"},
+                {"why": "w" * 201},
+                {"more": 1},
+                {"digest": "d" * 41},
+                {"number": 1 << 63},
+            ):
                 assert (await world.call("POST", "/config/fronts", good | spoil)).status == 422
             assert (await world.call("POST", "/config/fronts", b"not json")).status == 422
             assert (await world.call("POST", "/config/fronts", b"{" + b" " * 20_000)).status == 413
--- a/tests/front/test_reconnect.py
+++ b/tests/front/test_reconnect.py
@@ -104,8 +104,10 @@
 
 def test_who_is_told_when_to_come_back_comes_no_sooner_and_not_in_step() -> None:
     told = [front.lost(0, Loss.TURNED_AWAY, 0, 5 * SECOND) for front in fleet(40)]
-    again = [front.lost(at, Loss.TURNED_AWAY, 0, 5 * SECOND) - at for front, at in
-             zip(fleet(40), told, strict=True)]  # fmt: skip
+    again = [
+        front.lost(at, Loss.TURNED_AWAY, 0, 5 * SECOND) - at
+        for front, at in zip(fleet(40), told, strict=True)
+    ]
     assert min(told) >= 5 * SECOND and min(again) >= 5 * SECOND
     assert max(Counter(at // 10_000 for at in told).values()) <= 3
 
--- a/tests/hints/test_codecs.py
+++ b/tests/hints/test_codecs.py
@@ -118,10 +118,10 @@
     ("com.Example-aKey=3,bl=1", {"com.Example-aKey": 3, "bl": 1}, {}),
     ('nor="a,b\\"c",bl=1,(', {"nor": 'a,b"c', "bl": 1}, {"malformed-key": 1}),
     ("dl=(1 2)", {}, {"wrong-type": 1}),
-    ("br=(1;v \"x\")", {"br": (Typed(1, "v"),)}, {"wrong-type": 1}),
+    ('br=(1;v "x")', {"br": (Typed(1, "v"),)}, {"wrong-type": 1}),
     ("bl=1, bl=2", {"bl": 2}, {"key-twice": 1}),
     ("x-b=:YWJj:,bl=1", {"bl": 1}, {"unusable-custom": 1}),
-]  # fmt: skip
+]
 
 
 @pytest.mark.parametrize(("text", "values", "lost"), MALFORMED)
--- a/tests/many_servers/drawn_day.py
+++ b/tests/many_servers/drawn_day.py
@@ -124,15 +124,21 @@
         if self.playing:
             number = self.rng.choice(sorted(self.playing))
             server, _ = self.playing[number]
-            kind, value = self.rng.choice(((ev.NoteKind.DELIVERED, 0.6), (ev.NoteKind.DELIVERED, 1.0),
-                                           (ev.NoteKind.LINK_ASKED, 0.8)))  # fmt: skip
+            kind, value = self.rng.choice(
+                ((ev.NoteKind.DELIVERED, 0.6), (ev.NoteKind.DELIVERED, 1.0), (ev.NoteKind.LINK_ASKED, 0.8))
+            )
             self.take(self.driven.do(ev.Note(number, kind, value, server)))
 
     def telling(self) -> None:
         self.stamp += 1
         peer = self.rng.choice([p for p in range(PEERS) if p != self.driven.site.me])
         rates = tuple(
-            words.Rate(self.rng.randrange(1, self.newest + 1), float(self.rng.randrange(2000)),
-                       words.Sample(0.5, 100_000), warm=self.rng.random() < 0.5)
-            for _ in range(4))  # fmt: skip
+            words.Rate(
+                self.rng.randrange(1, self.newest + 1),
+                float(self.rng.randrange(2000)),
+                words.Sample(0.5, 100_000),
+                warm=self.rng.random() < 0.5,
+            )
+            for _ in range(4)
+        )
         self.word(peer, words.Telling(1, self.stamp, rates, self.rng.random() < 0.3))
--- a/tests/many_servers/fleet.py
+++ b/tests/many_servers/fleet.py
@@ -106,9 +106,17 @@
     def request(self, home: int, **other: Any) -> tuple[int, list[act.Action]]:
         """A viewer asks for a title of two racks; returns the request's number."""
         self._requests += 1
-        told = {"service_group": 0, "tenant": 0, "key": self._requests, "title": home + 1,
-                "time_left": 3 * SECOND, "length_hint": None, "home": home % self.site.plant.cells,
-                "span": min(TITLE_RACKS, self.site.plant.cells), "top": 9} | other  # fmt: skip
+        told = {
+            "service_group": 0,
+            "tenant": 0,
+            "key": self._requests,
+            "title": home + 1,
+            "time_left": 3 * SECOND,
+            "length_hint": None,
+            "home": home % self.site.plant.cells,
+            "span": min(TITLE_RACKS, self.site.plant.cells),
+            "top": 9,
+        } | other
         return self._requests, self.do(ev.SessionRequest(req_id=self._requests, **told))
 
     def set_up(self, home: int, **other: Any) -> tuple[int, act.Setup]:
--- a/tests/many_servers/test_server_table.py
+++ b/tests/many_servers/test_server_table.py
@@ -33,8 +33,13 @@
     def server(self, number: int) -> Server | None:
         return self.table.get(number)
 
-    @rule(number=numbers, cell=st.integers(0, CELLS - 1), state=st.sampled_from(list(ServerState)),
-          weight=st.floats(0.5, 4.0), started=st.sampled_from((0, 1)))  # fmt: skip
+    @rule(
+        number=numbers,
+        cell=st.integers(0, CELLS - 1),
+        state=st.sampled_from(list(ServerState)),
+        weight=st.floats(0.5, 4.0),
+        started=st.sampled_from((0, 1)),
+    )
     def tell_row(self, number: int, cell: int, state: ServerState, weight: float, started: int) -> None:
         row = ev.ServerRow(number, 0, 0, cell, state, weight, started * self.now)
         held = self.table.get(number) or self.table.add(row)
@@ -98,8 +103,6 @@
         assert cold >= {s for s in told if self.table.all[s].row.state is ServerState.READY}
 
 
-
-
 TestServerTable = TableMachine.TestCase
 TestServerTable.settings = settings(max_examples=60, stateful_step_count=40, deadline=None)
 
--- a/tests/many_servers/test_work_per_event.py
+++ b/tests/many_servers/test_work_per_event.py
@@ -98,8 +98,11 @@
     return steps_of(lambda: [driven.set_up(7, span=everywhere) for _ in range(10)])
 
 
-@pytest.mark.parametrize("event", [list_change, replaced_servers, set_ups, release, report, note, period],
-                         ids=lambda event: event.__name__)  # fmt: skip
+@pytest.mark.parametrize(
+    "event",
+    [list_change, replaced_servers, set_ups, release, report, note, period],
+    ids=lambda event: event.__name__,
+)
 @pytest.mark.parametrize("racks", [1, 8, None], ids=["one rack", "few racks", "racks of five"])
 def test_work_does_not_grow_where_every_server_holds_the_title(
     event: Callable[[DrivenFront], int], racks: int | None
--- a/tests/node/test_crossings.py
+++ b/tests/node/test_crossings.py
@@ -680,9 +680,12 @@
     board = json.loads((tmp_path / "node.json").read_text())["board"].rpartition(":")
     host, _, port = environment["BALANCER_LISTEN"].partition(":")
     process = subprocess.Popen(
-        [sys.executable, "-m", "ponddoor.node"], text=True, env={**os.environ, **environment},
-        stderr=subprocess.PIPE, preexec_fn=lambda: resource.setrlimit(resource.RLIMIT_NOFILE, (limit, limit)),
-    )  # fmt: skip
+        [sys.executable, "-m", "ponddoor.node"],
+        text=True,
+        env={**os.environ, **environment},
+        stderr=subprocess.PIPE,
+        preexec_fn=lambda: resource.setrlimit(resource.RLIMIT_NOFILE, (limit, limit)),
+    )
     assert process.stderr is not None
     said = iter(process.stderr.readline, "")
     try:
@@ -893,9 +896,7 @@
 @pytest.mark.parametrize(
     ("timeout", "after"), [(250_000, 5_500_000), (1_000_000, 4_250_000), (9_000_000, 3_625_000)]
 )
-def test_a_sign_is_asked_for_while_connect_timeouts_are_left(
-    world: World, timeout: int, after: int
-) -> None:
+def test_a_sign_is_asked_for_while_connect_timeouts_are_left(world: World, timeout: int, after: int) -> None:
     async def course(world: World) -> None:
         await begun(world)
         viewer = await proven(world)
@@ -995,9 +996,14 @@
         viewer.send(set_up("1"))
         await world.step("S", "gets", "new", "1")
         if close_first:
-            before(world.patch, world.node.engine, "left",
-                   lambda *_: world.named["S"].write(b'{"t":"up","ref":"%s","f":{},"d":"x"}\n'
-                                                     % sess("1").encode()))  # fmt: skip
+            before(
+                world.patch,
+                world.node.engine,
+                "left",
+                lambda *_: world.named["S"].write(
+                    b'{"t":"up","ref":"%s","f":{},"d":"x"}\n' % sess("1").encode()
+                ),
+            )
             viewer.close()
             await world.step("S", "gets", "down", "1", "c=16")
             await world.step("S", "gets", "down", "1", "c=31")
--- a/tests/node/test_node.py
+++ b/tests/node/test_node.py
@@ -98,9 +98,7 @@
         ("lanes", {"semantics": "twice"}, "an effect of 'twice'"),
     ],
 )
-def test_terms_that_nobody_can_keep(
-    tmp_path: Path, part: str, terms: dict[str, object], words: str
-) -> None:
+def test_terms_that_nobody_can_keep(tmp_path: Path, part: str, terms: dict[str, object], words: str) -> None:
     settings = deepcopy(FACTS) | {"localities": ["north"], "skus": ["box"]}
     (settings[part][0] if part == "lanes" else settings[part]).update(terms)
     process = start(told(tmp_path, settings=settings))
@@ -150,8 +148,10 @@
 
 
 SOME_LINES = 30  # of the log, within which what is waited for has to come
-QUICK_STATE = "import sys; from ponddoor.node import process; process.STATE_EVERY = 100_000; " \
-    "from ponddoor.node.__main__ import main; sys.exit(main())"  # fmt: skip
+QUICK_STATE = (
+    "import sys; from ponddoor.node import process; process.STATE_EVERY = 100_000; "
+    "from ponddoor.node.__main__ import main; sys.exit(main())"
+)
 
 
 def test_a_node_without_a_free_descriptor_goes_on(tmp_path: Path) -> None:
--- a/tests/obligations/test_completeness.py
+++ b/tests/obligations/test_completeness.py
@@ -67,9 +67,16 @@
 
 
 GUARDS_TAKEN_OUT = (
-    RefreshesOnDoubtAlone, AnyMessageProves, ConnectProves, DoubtsNothing, TriesOnce, FirstMessageSettles,
-    MessagesMoveTheDoubt, DoubtsFromTheLastProof, WaitsBehindSilence,
-)  # fmt: skip
+    RefreshesOnDoubtAlone,
+    AnyMessageProves,
+    ConnectProves,
+    DoubtsNothing,
+    TriesOnce,
+    FirstMessageSettles,
+    MessagesMoveTheDoubt,
+    DoubtsFromTheLastProof,
+    WaitsBehindSilence,
+)
 
 
 def drawn(steps: list[Step], seeds: Iterable[int] = range(LONG_SCHEDULES)) -> Iterator[tuple[Step, ...]]:
--- a/tests/obligations/test_lease.py
+++ b/tests/obligations/test_lease.py
@@ -71,9 +71,15 @@
 
 
 GUARDS_TAKEN_OUT = (
-    RenewsOnConnect, RenewsOnBytes, AsksNothingOnNewConnections, JudgesItsOwnStanding,
-    ExcusesEachLook, RenewsOnAsking, IgnoresMessages, GivesUpOnReset,
-)  # fmt: skip
+    RenewsOnConnect,
+    RenewsOnBytes,
+    AsksNothingOnNewConnections,
+    JudgesItsOwnStanding,
+    ExcusesEachLook,
+    RenewsOnAsking,
+    IgnoresMessages,
+    GivesUpOnReset,
+)
 
 
 def assert_right(schedule: tuple[Step, ...], wrong: Wrong | None) -> None:
--- a/tests/raft/test_raft.py
+++ b/tests/raft/test_raft.py
@@ -188,8 +188,11 @@
                 continue
             for effect in run(follower, follower.heard(0, message)):
                 if isinstance(effect, Send):
-                    queue += [e.message for e in run(leader, leader.heard(1, effect.message))
-                              if isinstance(e, Send) and e.to == 1]  # fmt: skip
+                    queue += [
+                        e.message
+                        for e in run(leader, leader.heard(1, effect.message))
+                        if isinstance(e, Send) and e.to == 1
+                    ]
         queue += [e.message for e in run(leader, leader.tick()) if isinstance(e, Send) and e.to == 1]
         leader.progress[2].heard = 0
     assert follower.snapshot.data == b"0123456789" and follower.applied == 2 and lost == 0
--- a/tests/seats/test_seats.py
+++ b/tests/seats/test_seats.py
@@ -212,8 +212,11 @@
     front.take("d")
     front.now += 200_000
     front.run(core.tick(front.now))
-    wants = [effect.message.want for effect in front.seen if isinstance(effect, Send)
-             and isinstance(effect.message, Ask)]  # fmt: skip
+    wants = [
+        effect.message.want
+        for effect in front.seen
+        if isinstance(effect, Send) and isinstance(effect.message, Ask)
+    ]
     assert max(wants) > wants[-1]
     front.run(core.heard(front.now, home, lent(core, 1 + wants.index(max(wants)), max(wants))))
     assert core.share(KEY).count == 0
--- a/tests/sharing/test_sharing.py
+++ b/tests/sharing/test_sharing.py
@@ -260,8 +260,13 @@
 # Words
 
 ENDS = st.builds(words.Ends, st.integers(1, 15), st.integers(0, 15))
-ROW = st.builds(words.Row, st.integers(0, 300), st.integers(0, 2**32 - 1), st.integers(0, 255),
-                st.none() | st.integers(0, 300))  # fmt: skip
+ROW = st.builds(
+    words.Row,
+    st.integers(0, 300),
+    st.integers(0, 2**32 - 1),
+    st.integers(0, 255),
+    st.none() | st.integers(0, 300),
+)
 ROWS = st.lists(ROW, max_size=words.ROWS).map(tuple)
 LIFE, NUMBER = st.integers(1, 2**32 - 1), st.integers(0, 65535)
 WORDS = st.one_of(
