--- a/ponddoor/capacity/virtual_measure.py
+++ b/ponddoor/capacity/virtual_measure.py
@@ -23,7 +23,7 @@
     SILENT,
     TELL_EVERY,
     Front,
-)
+)  # fmt: skip
 from ponddoor.fleet.presence import Timing
 from ponddoor.fleet.view import EPOCH, Fleet, Terms
 from ponddoor.interface import actions as act
@@ -219,20 +219,13 @@
     def send(self, node: Node, tells: Iterable[act.Tell]) -> None:
         for tell in tells:
             payload, kind = tell.payload, tell.payload[0]
-            targets = (
-                [tell.peer]
-                if tell.peer is not None
-                else [n for n in range(self.course.fronts) if n != node.number]
-            )
+            targets = [tell.peer] if tell.peer is not None else [n for n in range(self.course.fronts)
+                                                                if n != node.number]  # fmt: skip
             node.said[kind] += len(targets)
             node.told[kind] += len(targets) * len(payload)
             for to in targets:
-                self.pass_on(
-                    node.number,
-                    to,
-                    self.links,
-                    lambda to=to, payload=payload: self.arrive(node.number, to, payload),
-                )  # type: ignore[misc]
+                self.pass_on(node.number, to, self.links,
+                             lambda to=to, payload=payload: self.arrive(node.number, to, payload))  # type: ignore[misc]  # fmt: skip
 
     def arrive(self, sender: int, to: int, payload: bytes) -> None:
         node = self.nodes[to]
--- a/tests/soak/mutants.py
+++ b/tests/soak/mutants.py
@@ -59,12 +59,8 @@
         return ConnectionEnd(end.given_up, ())
 
     Sessions.connection_ended = connection_ended  # type: ignore[method-assign]
-    Sessions.due = lambda self, now: [
-        one
-        for one in self._records.values()
-        if one.session in self._pending  # type: ignore[method-assign]
-        and one.sent_at is None
-    ]
+    Sessions.due = lambda self, now: [one for one in self._records.values() if one.session in self._pending  # type: ignore[method-assign]
+                                      and one.sent_at is None]  # fmt: skip
 
 
 def answers_twice() -> None:
