--- a/ponddoor/soak/plan.py
+++ b/ponddoor/soak/plan.py
@@ -51,10 +51,8 @@
 ]
 MANY_SERVERS_KINDS = ("list_changes", "list_halves", "list_wholes", "servers_replaced", "servers_reset")
 FAULT_KINDS: tuple[str, ...] = tuple(
-    kind
-    for kind in FaultKind.__args__
-    if kind not in MANY_SERVERS_KINDS  # type: ignore[attr-defined]
-)
+    kind for kind in FaultKind.__args__ if kind not in MANY_SERVERS_KINDS  # type: ignore[attr-defined]
+)  # fmt: skip
 
 
 class ServiceClass(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
