--- a/ponddoor/capacity/loop_measure.py
+++ b/ponddoor/capacity/loop_measure.py
@@ -43,7 +43,7 @@
 
     def feed(self, event: ev.Event) -> list[act.Action]:
         actions = self.driver.handle(self.now, event)
-        self.timers += [(one.at, one.cookie) for one in actions if isinstance(one, act.SetTimer)]
+        self.timers += [(one.due, one.cookie) for one in actions if isinstance(one, act.SetTimer)]
         return actions
 
     def come(self, title: int) -> tuple[int, int | None]:
--- a/ponddoor/capacity/virtual_measure.py
+++ b/ponddoor/capacity/virtual_measure.py
@@ -120,19 +120,19 @@
         self.script: Script = self.fleet.talking(lambda server: None, lambda keeper: [])
         self.until = 0
 
-    def turn(self, now: int) -> list[act.Tell]:
+    def turn(self, now: int) -> list[act.SendPeerMessage]:
         """What the script says until it waits again, until `until`."""
         self.fleet.now = now
-        said: list[act.Tell] = []
+        said: list[act.SendPeerMessage] = []
         for action in self.script:
-            if isinstance(action, act.Tell):
+            if isinstance(action, act.SendPeerMessage):
                 said.append(action)
-            elif isinstance(action, act.Listen):
+            elif isinstance(action, act.WaitForPeerMessage):
                 self.until = action.until if action.until is not None else now + PERIOD
                 return said
         return said
 
-    def hear(self, now: int, peer: int, payload: bytes) -> list[act.Tell]:
+    def hear(self, now: int, peer: int, payload: bytes) -> list[act.SendPeerMessage]:
         self.fleet.now = now
         self.fleet.hear(peer, words.unpack(payload))
         return self.turn(now)
@@ -216,7 +216,7 @@
     def apart(self, sender: int, to: int) -> bool:
         return bool(self.cut) and (self.nodes[sender].zone, self.nodes[to].zone) in self.cut
 
-    def send(self, node: Node, tells: Iterable[act.Tell]) -> None:
+    def send(self, node: Node, tells: Iterable[act.SendPeerMessage]) -> None:
         for tell in tells:
             payload, kind = tell.payload, tell.payload[0]
             targets = [tell.peer] if tell.peer is not None else [n for n in range(self.course.fronts)
@@ -251,7 +251,7 @@
         node.cpu += time.thread_time_ns() - begun
         self.said_bare(node, said)
 
-    def said_bare(self, node: Node, said: list[act.Tell]) -> None:
+    def said_bare(self, node: Node, said: list[act.SendPeerMessage]) -> None:
         if said:
             self.send(node, said)
         due = max(node.core.until, self.now + 1)
@@ -267,10 +267,10 @@
         actions = node.core.driver.handle(self.now, event)
         node.cpu += time.thread_time_ns() - begun
         life = node.life
-        tells: list[act.Tell] = []
+        tells: list[act.SendPeerMessage] = []
         for action in actions:
             match action:
-                case act.Tell():
+                case act.SendPeerMessage():
                     tells.append(action)
                 case act.SetTimer(at, cookie):
                     self.at(at, lambda cookie=cookie: self.later(node, life, ev.TimerDue(cookie)))  # type: ignore[misc]
--- a/ponddoor/decide.py
+++ b/ponddoor/decide.py
@@ -29,9 +29,9 @@
 from ponddoor.interface import words
 from ponddoor.interface.events import Result, ServerState
 from ponddoor.interface.facts import Effect, Reporting, Scope, SiteFacts
-from ponddoor.interface.script import Resumed, Script
+from ponddoor.interface.script import ResumeValue, Script
 from ponddoor.server_table import ServerTable
-from ponddoor.state import LONG_AGO, Arrivals, Chance, Pipe, Server, Sess, Standing
+from ponddoor.state import LONG_AGO, Arrivals, Pipe, SeededRandom, Server, Sess, Standing
 
 SECOND = 1_000_000
 HEADROOM = 0.04  # of a link or uplink, left for true rates above the ladder and for others' raises
@@ -71,9 +71,9 @@
 
 class Front:
     def __init__(self, facts: SiteFacts, now: int) -> None:
-        self.facts, self.now, self.born, self.chance = facts, now, now, Chance(facts.seed)
+        self.facts, self.now, self.born, self.chance = facts, now, now, SeededRandom(facts.seed)
         self.table = ServerTable(facts.plant)
-        self.servers, self.by_rack = self.table.all, self.table.by_rack
+        self.servers, self.by_rack = self.table.by_number, self.table.by_rack
         self.racks = [Pipe(facts.plant.uplink_kb) for _ in range(facts.plant.racks or 1)]
         self.sessions: dict[int, Sess] = {}
         self.seats: dict[tuple[int, int], int] = {}
@@ -160,11 +160,11 @@
         elif row.started_at > held.row.started_at:  # a new process: what was seen of the old one is void
             held.ends, held.notes, held.link.loads, held.lost = [], [], [], None
             held.warm_at = LONG_AGO
-            self.table.reported(held)
+            self.table.reports_changed(held)
             self.fleet.evidence.forget(row.server)
             self.fleet.counts.end_key(row.server)
         before = self.running_rack(held)
-        self.table.put_row(held, row)
+        self.table.update_row(held, row)
         self.reckon_anew(held)
         if before != (after := self.running_rack(held)):
             self.book_move(held, before, after)
@@ -195,7 +195,7 @@
     def load(self, server: Server, taken: int, ratio: float) -> None:
         """A report of a server's link, of the moment it was taken."""
         server.link.load(taken, ratio)
-        self.table.reported(server)
+        self.table.reports_changed(server)
         self.reckon_anew(server)
 
     def reckon_anew(self, server: Server) -> None:
@@ -207,11 +207,11 @@
         server.ends = [*server.ends[-5:], (self.now, well)]
         self.fleet.saw(server.row.server, server.seen(self.now - (REST << LONGEST)))
         server.ended |= not well or self.fleet.evidence.view(self.now, server.row.server).failed > 0
-        self.table.to_tell(server)
+        self.table.mark_unsent(server)
         if well and server.lost is not None:
             unseen = server.row.started_at < server.lost  # it may have restarted, and the list not know yet
             server.back, server.lost = self.now if unseen else server.back, None
-            self.table.may_be_cold(server)
+            self.table.mark_possibly_cold(server)
 
     def learn_end(self, event: ev.Ended) -> None:
         sess, server = self.sessions.get(event.req_id), self.servers.get(event.server)
@@ -258,7 +258,7 @@
                 self.rack(server).load(taken, note.value)
             case ev.NoteKind.DELIVERED:
                 server.felt = (taken, note.value)
-                self.table.to_tell(server)
+                self.table.mark_unsent(server)
                 self.learn_shortage(server, taken, note.value)
 
     def learn_shortage(self, server: Server, taken: int, share: float) -> None:
@@ -270,7 +270,7 @@
         mild = max(share for _, share in server.notes)
         if share >= 0.98:  # what is delivered in full is not short: reports that it was are void
             server.link.loads = [(at, ratio) for at, ratio in server.link.loads if ratio < 1 or at > taken]
-            self.table.reported(server)
+            self.table.reports_changed(server)
         if mild >= 0.98 or len(server.notes) < 2:
             return
         rack = self.rack(server)
@@ -305,7 +305,7 @@
                 ratio = 1 / max(server.notes[-1][1], 0.1)  # util stops at full: the notes tell how far over
             self.load(server, taken, ratio)
             server.heard, server.reported = (taken, ratio), ratio
-            self.table.to_tell(server)
+            self.table.mark_unsent(server)
         if "uplink_asked" in report:
             self.rack(server).load(taken, report["uplink_asked"])
 
@@ -336,7 +336,7 @@
 
     def book(self, server: Server) -> None:
         """What we know to be asked of a link and of its rack's uplink has changed."""
-        self.table.use(server)
+        self.table.sessions_changed(server)
         asked = server.own() + self.fleet.counts.likely(server.row.server)
         before = server.link.known[-1][1]
         server.link.known = [*server.link.known[-39:], (self.now, asked)]
@@ -363,10 +363,10 @@
     def usual(self) -> float:
         """The fleet's usual load, by the reports; without any, others are taken to ask as much as we do."""
         if self.reckoned != self.now:
-            load = self.table.mean_report(self.now - 2 * MISSING)
+            load = self.table.mean_reported_load(self.now - 2 * MISSING)
             if load is None:
                 ours = sum(s.own() for s in self.table.in_use()) * self.facts.fronts
-                load = ours / max(self.table.kb, 1.0)
+                load = ours / max(self.table.total_kb, 1.0)
             self.reckoned, self.usual_load = self.now, load
         return self.usual_load
 
@@ -615,7 +615,7 @@
         count, holds = self.table.holder_count(home, span), self.facts.plant.holds
         if count <= MOST_COMPARED:
             return self.table.holders(home, span)
-        drawn = self.table.holders_at(home, span, (self.chance.draw(count) for _ in range(DRAWN)))
+        drawn = self.table.holders_at_positions(home, span, (self.chance.draw(count) for _ in range(DRAWN)))
         ours = [
             s
             for s in self.table.in_use()
@@ -748,7 +748,7 @@
                 chance = min(map(self.paced_until, later), default=sess.deadline)
                 if not self.now < chance < sess.deadline and (chance := self.later(sess)) <= self.now:
                     break
-                got: Resumed = yield act.Wait(chance)
+                got: ResumeValue = yield act.Wait(chance)
             else:
                 self.commit(sess, server)
                 yield from self.tell([server])
@@ -924,7 +924,7 @@
     def answering(self) -> Script:
         """A keeper's answers: the best holders, the asker's zone first, and the best cold ones."""
         while True:
-            got = yield act.Listen(None)
+            got = yield act.WaitForPeerMessage(None)
             word = self.word[1] if isinstance(got, ev.PeerMessage) and self.word[0] is got.payload else None
             match got, word:
                 case ev.PeerMessage(), words.AskOurs(number):
@@ -1012,11 +1012,11 @@
             yield from self.tell(
                 [
                     s
-                    for s in self.table.take_untold()
+                    for s in self.table.take_unsent()
                     if s.heard or s.felt or s.ended or s.said != s.own() or s.said_warm != self.old(s)
                 ]
             )
-            cold = self.table.cold(self.now, self.facts.rules.cold)
+            cold = self.table.cold_servers(self.now, self.facts.rules.cold)
             yield from self.fleet.lend(sorted({self.group(s) for s in cold}))
             yield act.Wait(self.now + self.tell_every)
 
--- a/ponddoor/fleet/presence.py
+++ b/ponddoor/fleet/presence.py
@@ -16,7 +16,7 @@
 from enum import Enum
 
 from ponddoor.interface import words
-from ponddoor.interface.chance import LONG_AGO, Chance
+from ponddoor.interface.chance import LONG_AGO, SeededRandom
 
 DAY = 864_000  # in the steps of a life, tenths of a second
 HELPERS = 3  # who are asked to ping one that did not answer us
@@ -91,7 +91,7 @@
     """One front's view of the others. `due` is to be called at `next_due`; what comes back is to be sent."""
 
     def __init__(self, me: int, fronts: int, life: int, now: int, timing: Timing, seed: int) -> None:
-        self.me, self.fronts, self.timing, self.chance = me, fronts, timing, Chance(seed)
+        self.me, self.fronts, self.timing, self.chance = me, fronts, timing, SeededRandom(seed)
         self.chance.draw(2)
         self.life, self.bump, self._first, self._born = life, 0, life, now
         self.members = {front: Member() for front in range(fronts) if front != me}
--- a/ponddoor/fleet/simulation.py
+++ b/ponddoor/fleet/simulation.py
@@ -242,11 +242,11 @@
                 return
             value = None
             match action:
-                case act.Tell(peer, payload):
+                case act.SendPeerMessage(peer, payload):
                     others = [n for n in range(self.plan.fronts) if n != node.number]
                     for to in others if peer is None else [peer]:
                         self._send(node, to, payload)
-                case act.Listen(until):
+                case act.WaitForPeerMessage(until):
                     node.listening.append((script, until))
                     if until is not None:
                         self._later(node, until)
--- a/ponddoor/fleet/view.py
+++ b/ponddoor/fleet/view.py
@@ -19,7 +19,7 @@
 from ponddoor.fleet.shares import Shares
 from ponddoor.interface import actions as act
 from ponddoor.interface import words
-from ponddoor.interface.chance import Chance
+from ponddoor.interface.chance import SeededRandom
 from ponddoor.interface.facts import SiteFacts
 from ponddoor.interface.script import Script
 
@@ -119,7 +119,7 @@
         """Racks that follow one another are one group: a title mostly lies in one."""
         return rack * len(self.groups) // racks
 
-    def asked_about(self, of: list[int], most: int, chance: Chance) -> list[int]:
+    def asked_about(self, of: list[int], most: int, chance: SeededRandom) -> list[int]:
         """Some of these groups: of a title that lies everywhere its home's and others by chance."""
         groups = list(dict.fromkeys(of))
         while len(groups) > most:
@@ -257,7 +257,9 @@
                 begun, self._begun = self._begun & self.all_keepers(), set()
                 for keeper in sorted(begun):
                     yield from self.tell_all(keeper, rates(keeper))
-            yield act.Listen(min(self.presence.next_due, self._ask_all_at or self.presence.next_due))
+            yield act.WaitForPeerMessage(
+                min(self.presence.next_due, self._ask_all_at or self.presence.next_due)
+            )
 
     def tell(self, rates: Iterable[tuple[int, words.Rate]]) -> Script:
         """What changed at servers of these groups, to the keepers of each."""
@@ -295,7 +297,7 @@
         for keeper in sorted(keepers):
             yield from _say(keeper, question(number))
         while held.waited and self.now < until:
-            yield act.Listen(until)
+            yield act.WaitForPeerMessage(until)
         self.quiet |= held.waited
         held.waited.clear()
 
@@ -336,7 +338,7 @@
 
 def _say(peer: int | None, word: words.Word) -> Script:
     for message in words.pack(word):
-        yield act.Tell(peer, message)
+        yield act.SendPeerMessage(peer, message)
 
 
 def sum_of(now: int, room: words.Room) -> View:
--- a/ponddoor/front/engine.py
+++ b/ponddoor/front/engine.py
@@ -363,7 +363,7 @@
             case act.SetTimer(at, cookie):
                 self._set_timer(at, "cookie", cookie)
                 return []
-            case act.Tell(peer, payload):
+            case act.SendPeerMessage(peer, payload):
                 return [fx.SendWord(peer, payload)]
             case act.Probe(server):
                 return [fx.SendProbe(server)]
@@ -371,7 +371,7 @@
                 return [fx.CloseIdle(server)]
             case act.Watch(active):
                 return [fx.WatchList(active)]
-            case act.Fetch():
+            case act.FetchServers():
                 return [fx.FetchList()]
             case act.Log(text):
                 return [fx.Say("info", text)]
--- a/ponddoor/front/follower.py
+++ b/ponddoor/front/follower.py
@@ -30,7 +30,7 @@
 )
 from ponddoor.config.rollout import Report
 from ponddoor.front.reconnect import LEAST, Loss, ReconnectSchedule
-from ponddoor.interface.chance import Chance
+from ponddoor.interface.chance import SeededRandom
 from ponddoor.settings.sexpr import MOST_BYTES, Listing, SettingsError, parse
 from ponddoor.settings.site import Site, check
 
@@ -247,11 +247,11 @@
     said: set[tuple[int, str]] = field(default_factory=set)
     _order: tuple[int, ...] = ()
     _chosen: int = 0  # the place in it of the instance that was chosen last
-    _chance: Chance = field(init=False)
+    _chance: SeededRandom = field(init=False)
 
     def __post_init__(self) -> None:
         self.schedule = ReconnectSchedule(self.me, self.fronts, self.grace, self.seed, period=EVEN)
-        self._chance = Chance(self.seed ^ 0x2545F4914F6CDD1D)
+        self._chance = SeededRandom(self.seed ^ 0x2545F4914F6CDD1D)
         self._chance.draw(2)
         first = self.me % self.instances
         others = [number for number in range(self.instances) if number != first]
--- a/ponddoor/front/reconnect.py
+++ b/ponddoor/front/reconnect.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from ponddoor.state import Chance
+from ponddoor.state import SeededRandom
 
 SECOND = 1_000_000
 FLEET_RATE = 30  # first tries a second, while the bounds leave room for so few
@@ -58,10 +58,10 @@
     out_since: int | None = None
     last_heard: int | None = None
     _begun: int = 0  # when the last try began
-    _chance: Chance = field(init=False)
+    _chance: SeededRandom = field(init=False)
 
     def __post_init__(self) -> None:
-        self._chance = Chance(self.seed ^ 0x9E3779B97F4A7C15)  # the decisions draw from the seed itself
+        self._chance = SeededRandom(self.seed ^ 0x9E3779B97F4A7C15)  # the decisions draw from the seed itself
         self._chance.draw(2)
 
     def start(self, now: int) -> int:
--- a/ponddoor/interface/actions.py
+++ b/ponddoor/interface/actions.py
@@ -1,8 +1,8 @@
 """What a front asks for.
 
 A generator of the decisions yields these. `Setup` is resumed with Started, Ended or ViewerLeft; `Play`
-with Ended or ViewerLeft; `Wait` with None at its time, or earlier with ViewerLeft; `Listen` likewise, or
-with the next PeerMessage. All others take effect at once.
+with Ended or ViewerLeft; `Wait` with None at its time, or earlier with ViewerLeft; `WaitForPeerMessage`
+likewise, or with the next PeerMessage. All others take effect at once.
 """
 
 from dataclasses import dataclass
@@ -30,7 +30,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Listen:
+class WaitForPeerMessage:
     """Wait for the next message of another front, until a moment at most (None: for ever)."""
 
     until: int | None
@@ -89,7 +89,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Tell:
+class SendPeerMessage:
     """Send bytes to one front, or to all others."""
 
     peer: int | None
@@ -104,7 +104,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Fetch:
+class FetchServers:
     """Ask once for the full list of servers."""
 
 
@@ -119,7 +119,7 @@
 class SetTimer:
     """Ask for a TimerDue. Only the runtime asks for this."""
 
-    at: int
+    due: int
     cookie: int
 
 
@@ -127,7 +127,7 @@
     Setup
     | Play
     | Wait
-    | Listen
+    | WaitForPeerMessage
     | SetRung
     | BusyReply
     | TearDown
@@ -135,9 +135,9 @@
     | Move
     | Probe
     | CloseIdle
-    | Tell
+    | SendPeerMessage
     | Watch
-    | Fetch
+    | FetchServers
     | Log
     | SetTimer
 )
--- a/ponddoor/interface/chance.py
+++ b/ponddoor/interface/chance.py
@@ -3,7 +3,7 @@
 LONG_AGO = -(1 << 60)
 
 
-class Chance:
+class SeededRandom:
     """A linear congruential generator; its high bits are used."""
 
     def __init__(self, seed: int) -> None:
--- a/ponddoor/interface/script.py
+++ b/ponddoor/interface/script.py
@@ -5,5 +5,5 @@
 from ponddoor.interface.actions import Action
 from ponddoor.interface.events import Ended, PeerMessage, Started, ViewerLeft
 
-Resumed = Started | Ended | ViewerLeft | PeerMessage | None
-Script = Generator[Action, Resumed, None]
+ResumeValue = Started | Ended | ViewerLeft | PeerMessage | None
+Script = Generator[Action, ResumeValue, None]
--- a/ponddoor/load/measure.py
+++ b/ponddoor/load/measure.py
@@ -294,7 +294,7 @@
 
     def feed(event: ev.Event) -> list[act.Action]:
         actions = driver.handle(now, event)
-        timers.extend((one.at, one.cookie) for one in actions if isinstance(one, act.SetTimer))
+        timers.extend((one.due, one.cookie) for one in actions if isinstance(one, act.SetTimer))
         return actions
 
     rows = (ev.ServerRow(n, 0, 0, n, ev.ServerState.READY, 1.0, 0) for n in range(servers))
--- a/ponddoor/rehearse/baseline.py
+++ b/ponddoor/rehearse/baseline.py
@@ -6,14 +6,14 @@
 from ponddoor.interface import events as ev
 from ponddoor.interface.facts import SiteFacts
 from ponddoor.interface.script import Script
-from ponddoor.state import Chance
+from ponddoor.state import SeededRandom
 
 
 class RandomHolder:
     """Decisions without an account."""
 
     def __init__(self, facts: SiteFacts, now: int) -> None:
-        self.facts, self.now, self.chance = facts, now, Chance(facts.seed)
+        self.facts, self.now, self.chance = facts, now, SeededRandom(facts.seed)
         self.rows: dict[int, ev.ServerRow] = {}
 
     def clock(self, now: int) -> None:
--- a/ponddoor/runtime/driver.py
+++ b/ponddoor/runtime/driver.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterable
 from typing import Protocol
 
-from ponddoor.interface.actions import Action, Listen, Play, SetTimer, Setup, Wait
+from ponddoor.interface.actions import Action, Play, SetTimer, Setup, Wait, WaitForPeerMessage
 from ponddoor.interface.events import (
     Ended,
     Event,
@@ -16,7 +16,7 @@
     ViewerLeft,
 )
 from ponddoor.interface.facts import SiteFacts
-from ponddoor.interface.script import Resumed, Script
+from ponddoor.interface.script import ResumeValue, Script
 
 
 class Decisions(Protocol):
@@ -92,7 +92,9 @@
             self._waits.pop(req_id, None)
         return script, req_id
 
-    def _resume(self, script: Script | None, req_id: int | None, value: Resumed, out: list[Action]) -> None:
+    def _resume(
+        self, script: Script | None, req_id: int | None, value: ResumeValue, out: list[Action]
+    ) -> None:
         while script is not None:
             try:
                 action = script.send(value)
@@ -104,9 +106,9 @@
             match action:
                 case Play():
                     return
-                case Wait(until) | Listen(until):
+                case Wait(until) | WaitForPeerMessage(until):
                     self._cookie = (self._cookie + 1) % 2**32
-                    if isinstance(action, Listen):
+                    if isinstance(action, WaitForPeerMessage):
                         self._listening[self._cookie] = (script, req_id)
                     if until is not None:
                         self._timers[self._cookie] = (script, req_id)
--- a/ponddoor/server_table.py
+++ b/ponddoor/server_table.py
@@ -14,9 +14,11 @@
 from ponddoor.interface.facts import Plant
 from ponddoor.state import Pipe, Server
 
-MOST_GONE = 1024  # servers that have gone and are still known
-LEAST_REPORT_ENDS = 64  # ends of reports that are kept before those of replaced reports are dropped
-FIXED_POINT = 1 << 80  # sums are whole numbers of this part: every float over 1e-8 is one, and none drifts
+MAX_GONE_SERVERS = 1024  # servers that have gone and are still known
+MAX_STALE_REPORTS = 64  # ends of reports that are kept before those of replaced reports are dropped
+# Sums are kept as integer multiples of 1 / FIXED_POINT_SCALE, which represents every float over 1e-8 exactly, so
+# that adding and subtracting values does not accumulate rounding errors.
+FIXED_POINT_SCALE = 1 << 80
 
 _by_order = attrgetter("order")
 
@@ -26,55 +28,55 @@
 
     def __init__(self, plant: Plant) -> None:
         self.plant = plant
-        self.all: dict[int, Server] = {}
+        self.by_number: dict[int, Server] = {}
         self.ready: list[Server] = []
         self.by_rack: list[list[Server]] = [[] for _ in range(plant.racks or 1)]
         self.running: dict[int, Server] = {}  # that have not gone
-        self.untold: dict[int, Server] = {}  # of which something has changed since it was last told
+        self.unsent: dict[int, Server] = {}  # of which something has changed since it was last told
         self._by_cell: dict[int, list[Server]] = {}  # ready ones, by cell modulo the site's cells
         self._in_use: dict[int, Server] = {}
-        self._recent: dict[int, Server] = {}  # that may be cold
-        self._gone: dict[int, None] = {}
+        self._possibly_cold: dict[int, Server] = {}  # that may be cold
+        self._gone_numbers: dict[int, None] = {}
         self._next_order = 0
-        self._kb = 0
-        self._reports: dict[int, tuple[int, float]] = {}  # the last load of each: (taken at, ratio)
-        self._report_ends: list[tuple[int, int]] = []  # a heap of (taken at, server)
-        self._ratios = 0
+        self._total_kb_fixed = 0
+        self._last_reports: dict[int, tuple[int, float]] = {}  # the last load of each: (taken at, ratio)
+        self._reports_by_time: list[tuple[int, int]] = []  # a heap of (taken at, server)
+        self._ratio_sum_fixed = 0
 
     # Rows of the list
 
     def get(self, number: int) -> Server | None:
         """The server of a number, also one that has gone."""
-        return self.all.get(number)
+        return self.by_number.get(number)
 
     def add(self, row: ev.ServerRow) -> Server:
         """A server that is named for the first time; `put_row` follows."""
-        server = self.all[row.server] = Server(row, Pipe(0.0), order=self._next_order)
+        server = self.by_number[row.server] = Server(row, Pipe(0.0), order=self._next_order)
         self._next_order += 1
-        self._index(server)
+        self._add_to_indices(server)
         return server
 
-    def put_row(self, server: Server, row: ev.ServerRow) -> None:
+    def update_row(self, server: Server, row: ev.ServerRow) -> None:
         """A server's row is another one now."""
-        if self._place(server.row) != self._place(row):
-            self._take_out(server)
+        if self._cell_and_state(server.row) != self._cell_and_state(row):
+            self._remove_from_indices(server)
             server.row = row
-            self._index(server)
+            self._add_to_indices(server)
         server.row = row
         kb = row.weight * self.plant.kb_per_weight
-        self._kb += _fixed(kb) - _fixed(server.link.kb)
+        self._total_kb_fixed += _to_fixed_point(kb) - _to_fixed_point(server.link.kb)
         server.link.kb = kb
         if row.started_at:
-            self.may_be_cold(server)
+            self.mark_possibly_cold(server)
         if row.state is ServerState.GONE:
-            self._note_gone(server)
+            self._evict_gone(server)
         else:
-            self._gone.pop(row.server, None)
+            self._gone_numbers.pop(row.server, None)
 
-    def _place(self, row: ev.ServerRow) -> tuple[int, ServerState]:
+    def _cell_and_state(self, row: ev.ServerRow) -> tuple[int, ServerState]:
         return row.cell, row.state
 
-    def _index(self, server: Server) -> None:
+    def _add_to_indices(self, server: Server) -> None:
         row = server.row
         if row.state is ServerState.GONE:
             return
@@ -85,30 +87,30 @@
             cell = self._by_cell.setdefault(row.cell % self.plant.cells, [])
             bisect.insort(cell, server, key=_by_order)
 
-    def _take_out(self, server: Server) -> None:
+    def _remove_from_indices(self, server: Server) -> None:
         row = server.row
         if row.state is ServerState.GONE:
             return
         del self.running[row.server]
-        _remove(self.by_rack[row.cell % len(self.by_rack)], server)
+        _remove_sorted(self.by_rack[row.cell % len(self.by_rack)], server)
         if row.state is ServerState.READY:
-            _remove(self.ready, server)
-            _remove(self._by_cell[row.cell % self.plant.cells], server)
+            _remove_sorted(self.ready, server)
+            _remove_sorted(self._by_cell[row.cell % self.plant.cells], server)
 
-    def _note_gone(self, server: Server) -> None:
+    def _evict_gone(self, server: Server) -> None:
         """The oldest of those that have gone are forgotten, but for those with sessions."""
-        self._gone[server.row.server] = None
-        if len(self._gone) > MOST_GONE:
-            oldest = next((number for number in self._gone if number not in self._in_use), None)
+        self._gone_numbers[server.row.server] = None
+        if len(self._gone_numbers) > MAX_GONE_SERVERS:
+            oldest = next((number for number in self._gone_numbers if number not in self._in_use), None)
             if oldest is not None:
                 self._forget(oldest)
 
     def _forget(self, number: int) -> None:
-        del self._gone[number]
-        server = self.all.pop(number)
-        self._kb -= _fixed(server.link.kb)
-        self.untold.pop(number, None)
-        self._recent.pop(number, None)
+        del self._gone_numbers[number]
+        server = self.by_number.pop(number)
+        self._total_kb_fixed -= _to_fixed_point(server.link.kb)
+        self.unsent.pop(number, None)
+        self._possibly_cold.pop(number, None)
         self._drop_report(number)
 
     # What holds a title, what is used, what may be cold
@@ -128,7 +130,7 @@
             return len(self.ready)
         return sum(len(self._by_cell.get((home + at) % cells, ())) for at in range(span))
 
-    def holders_at(self, home: int, span: int, places: Iterable[int]) -> list[Server]:
+    def holders_at_positions(self, home: int, span: int, places: Iterable[int]) -> list[Server]:
         """Those at these places among all holders, from 0; in their order."""
         cells, wanted = self.plant.cells, sorted(set(places))
         if span >= cells:
@@ -142,10 +144,10 @@
             first += len(held)
         return sorted(found, key=_by_order)
 
-    def use(self, server: Server) -> None:
+    def sessions_changed(self, server: Server) -> None:
         """Its sessions, or their rungs, have changed."""
         server.changed()
-        self.untold[server.row.server] = server
+        self.unsent[server.row.server] = server
         if server.sessions:
             self._in_use[server.row.server] = server
         else:
@@ -155,63 +157,67 @@
         """The servers with sessions of ours, in their order."""
         return sorted(self._in_use.values(), key=_by_order)
 
-    def to_tell(self, server: Server) -> None:
+    def mark_unsent(self, server: Server) -> None:
         """Something came to us of a server that others are told."""
-        self.untold[server.row.server] = server
+        self.unsent[server.row.server] = server
 
-    def take_untold(self) -> list[Server]:
+    def take_unsent(self) -> list[Server]:
         """In their order, those with news for others, and those in use: theirs change with time alone."""
-        untold, self.untold = self.untold | self._in_use, {}
+        untold, self.unsent = self.unsent | self._in_use, {}
         return sorted(untold.values(), key=_by_order)
 
-    def may_be_cold(self, server: Server) -> None:
+    def mark_possibly_cold(self, server: Server) -> None:
         """Its process has started anew."""
-        self._recent[server.row.server] = server
+        self._possibly_cold[server.row.server] = server
 
-    def cold(self, now: int, lasts: int) -> list[Server]:
+    def cold_servers(self, now: int, lasts: int) -> list[Server]:
         """The ready servers that started less than `lasts` ago."""
-        for number in [n for n, server in self._recent.items() if now - server.started() >= lasts]:
-            del self._recent[number]
-        return [server for server in self._recent.values() if server.row.state is ServerState.READY]
+        for number in [n for n, server in self._possibly_cold.items() if now - server.started() >= lasts]:
+            del self._possibly_cold[number]
+        return [server for server in self._possibly_cold.values() if server.row.state is ServerState.READY]
 
     # Sums
 
     @property
-    def kb(self) -> float:
+    def total_kb(self) -> float:
         """What all links give together."""
-        return self._kb / FIXED_POINT
+        return self._total_kb_fixed / FIXED_POINT_SCALE
 
-    def reported(self, server: Server) -> None:
+    def reports_changed(self, server: Server) -> None:
         """The reports of a server's link have changed."""
         number = server.row.server
         self._drop_report(number)
         if server.link.loads:
-            taken, ratio = self._reports[number] = server.link.loads[-1]
-            self._ratios += _fixed(ratio)
-            heapq.heappush(self._report_ends, (taken, number))
-            if len(self._report_ends) > 2 * len(self._reports) + LEAST_REPORT_ENDS:
-                self._report_ends = [(at, one) for one, (at, _) in self._reports.items()]
-                heapq.heapify(self._report_ends)
-
-    def mean_report(self, since: int) -> float | None:
+            taken, ratio = self._last_reports[number] = server.link.loads[-1]
+            self._ratio_sum_fixed += _to_fixed_point(ratio)
+            heapq.heappush(self._reports_by_time, (taken, number))
+            if len(self._reports_by_time) > 2 * len(self._last_reports) + MAX_STALE_REPORTS:
+                self._reports_by_time = [(at, one) for one, (at, _) in self._last_reports.items()]
+                heapq.heapify(self._reports_by_time)
+
+    def mean_reported_load(self, since: int) -> float | None:
         """The mean of the last reports of servers that were taken after a moment; None without any."""
-        while self._report_ends and self._report_ends[0][0] <= since:
-            taken, number = heapq.heappop(self._report_ends)
-            if self._reports.get(number, (None, 0.0))[0] == taken:
+        while self._reports_by_time and self._reports_by_time[0][0] <= since:
+            taken, number = heapq.heappop(self._reports_by_time)
+            if self._last_reports.get(number, (None, 0.0))[0] == taken:
                 self._drop_report(number)
-        return self._ratios / FIXED_POINT / len(self._reports) if self._reports else None
+        return (
+            self._ratio_sum_fixed / FIXED_POINT_SCALE / len(self._last_reports)
+            if self._last_reports
+            else None
+        )
 
     def _drop_report(self, number: int) -> None:
-        held = self._reports.pop(number, None)
+        held = self._last_reports.pop(number, None)
         if held is not None:
-            self._ratios -= _fixed(held[1])
+            self._ratio_sum_fixed -= _to_fixed_point(held[1])
 
 
-def _fixed(value: float) -> int:
-    return round(value * FIXED_POINT)
+def _to_fixed_point(value: float) -> int:
+    return round(value * FIXED_POINT_SCALE)
 
 
-def _remove(servers: list[Server], server: Server) -> None:
+def _remove_sorted(servers: list[Server], server: Server) -> None:
     at = bisect.bisect_left(servers, server.order, key=_by_order)
     assert servers[at] is server
     del servers[at]
--- a/ponddoor/simhost/codec.py
+++ b/ponddoor/simhost/codec.py
@@ -238,17 +238,17 @@
             return _record(6, _U32.pack(server))
         case act.CloseIdle(server):
             return _record(7, _U32.pack(server))
-        case act.Tell(peer, payload):
+        case act.SendPeerMessage(peer, payload):
             return _record(8, _U32.pack(_EVERY_PEER if peer is None else peer) + _blob(payload))
         case act.Log(text):
             return _record(9, _blob(text.encode()[:500]))
         case act.Watch(active):
             return _record(11, _U8.pack(active))
-        case act.Fetch():
+        case act.FetchServers():
             return _record(12)
         case act.SetRung(req_id, rung):
             return _record(13, struct.pack(">IB", req_id, rung))
         case act.Move(req_id):
             return _record(14, _U32.pack(req_id))
-        case act.Play() | act.Wait() | act.Listen():
+        case act.Play() | act.Wait() | act.WaitForPeerMessage():
             raise TypeError(f"{wanted} is for the runtime, not for the wire")
--- a/ponddoor/state.py
+++ b/ponddoor/state.py
@@ -7,10 +7,10 @@
 from ponddoor.fleet.evidence import Seen
 from ponddoor.interface import events as ev
 from ponddoor.interface import words
-from ponddoor.interface.chance import LONG_AGO, Chance
+from ponddoor.interface.chance import LONG_AGO, SeededRandom
 from ponddoor.interface.facts import Ladder, ServiceGroup
 
-__all__ = ["LONG_AGO", "Chance", "Pipe", "Server", "Sess"]
+__all__ = ["LONG_AGO", "SeededRandom", "Pipe", "Server", "Sess"]
 
 
 @dataclass(slots=True)
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -142,7 +142,7 @@
         for action in self.driver.handle(self.now, event):
             match action:
                 case act.SetTimer():
-                    self.timers.append((action.at, action.cookie))
+                    self.timers.append((action.due, action.cookie))
                 case act.Setup():
                     number = self.sent.get(str(action.req_id), (0, -1))[1] + 1
                     self.sent[str(action.req_id)] = (action.server, number)
@@ -151,7 +151,7 @@
                     self.news.append(f"rung {action.req_id} {action.rung}")
                 case act.BusyReply():
                     self.news.append(f"busy {action.req_id} {action.come_back / 1e6:g}s")
-                case act.Tell():
+                case act.SendPeerMessage():
                     self.tell(action, words.unpack(action.payload))
                 case _:
                     names = [str(getattr(action, f.name)) for f in fields(action)]
@@ -160,7 +160,7 @@
         for peer, ack in acks:
             self.do(ev.PeerMessage(peer, words.pack(ack)[0]))
 
-    def tell(self, action: act.Tell, word: words.Word | None) -> None:
+    def tell(self, action: act.SendPeerMessage, word: words.Word | None) -> None:
         match word:
             case words.Telling(_, _, rates, whole):
                 self.news.append(f"tells {action.peer} {'all' if whole else 'changes'}")
--- a/tests/fleet/test_cold_sum.py
+++ b/tests/fleet/test_cold_sum.py
@@ -93,7 +93,7 @@
             match action:
                 case act.SetTimer(at, cookie):
                     self.put(max(at, self.now), partial(self.feed, me, ev.TimerDue(cookie)))
-                case act.Tell(peer, payload):
+                case act.SendPeerMessage(peer, payload):
                     for to in range(self.fronts) if peer is None else [peer]:
                         if to != me and not {me, to} & self.deafs:
                             late = self.now + self.random.randrange(2000, 10_000)
--- a/tests/many_servers/drawn_day.py
+++ b/tests/many_servers/drawn_day.py
@@ -45,10 +45,10 @@
                     attempt = self.attempts.get(action.req_id, -1) + 1
                     self.attempts[action.req_id] = attempt
                     self.out[action.req_id] = action.server, attempt
-                case act.Tell():
+                case act.SendPeerMessage():
                     self.answer(action)
 
-    def answer(self, told: act.Tell) -> None:
+    def answer(self, told: act.SendPeerMessage) -> None:
         match words.unpack(told.payload):
             case words.AskHolders(number) if told.peer is not None and self.rng.random() < 0.5:
                 server = self.rng.randrange(1, self.newest + 1)
--- a/tests/many_servers/fleet.py
+++ b/tests/many_servers/fleet.py
@@ -90,7 +90,7 @@
             self.log.append((self.now, action))
             if isinstance(action, act.SetTimer):
                 self._order += 1
-                heapq.heappush(self.timers, (action.at, self._order, action.cookie))
+                heapq.heappush(self.timers, (action.due, self._order, action.cookie))
         return [action for action in actions if not isinstance(action, act.SetTimer)]
 
     def run_until(self, moment: int) -> list[act.Action]:
--- a/tests/many_servers/test_server_table.py
+++ b/tests/many_servers/test_server_table.py
@@ -43,31 +43,31 @@
     def tell_row(self, number: int, cell: int, state: ServerState, weight: float, started: int) -> None:
         row = ev.ServerRow(number, 0, 0, cell, state, weight, started * self.now)
         held = self.table.get(number) or self.table.add(row)
-        self.table.put_row(held, row)
+        self.table.update_row(held, row)
 
     @rule(number=numbers, request=st.integers(1, 3))
     def begin_session(self, number: int, request: int) -> None:
         if (server := self.server(number)) is not None:
             server.sessions[request] = SESSION
-            self.table.use(server)
+            self.table.sessions_changed(server)
 
     @rule(number=numbers, request=st.integers(1, 3))
     def end_session(self, number: int, request: int) -> None:
         if (server := self.server(number)) is not None and request in server.sessions:
             del server.sessions[request]
-            self.table.use(server)
+            self.table.sessions_changed(server)
 
     @rule(number=numbers, taken=st.integers(0, 500), ratio=st.floats(0.0, 3.0))
     def report(self, number: int, taken: int, ratio: float) -> None:
         if (server := self.server(number)) is not None:
             server.link.load(max(self.now - taken, 0), ratio)
-            self.table.reported(server)
+            self.table.reports_changed(server)
 
     @rule(number=numbers)
     def forget_reports(self, number: int) -> None:
         if (server := self.server(number)) is not None:
             server.link.loads = []
-            self.table.reported(server)
+            self.table.reports_changed(server)
 
     @rule(passed=st.integers(1, 400))
     def wait(self, passed: int) -> None:
@@ -75,11 +75,11 @@
 
     @rule()
     def tell_all(self) -> None:
-        assert self.table.in_use() == [s for s in self.table.take_untold() if s.sessions]
+        assert self.table.in_use() == [s for s in self.table.take_unsent() if s.sessions]
 
     @invariant()
     def indices_are_the_plain_computation(self) -> None:
-        every, table = list(self.table.all.values()), self.table
+        every, table = list(self.table.by_number.values()), self.table
         running = [s for s in every if s.row.state is not ServerState.GONE]
         ready = [s for s in every if s.row.state is ServerState.READY]
         assert table.ready == ready
@@ -93,14 +93,14 @@
 
     @invariant()
     def sums_are_the_plain_sums(self) -> None:
-        every, since = list(self.table.all.values()), self.now - 300
+        every, since = list(self.table.by_number.values()), self.now - 300
         loads = [s.link.loads[-1][1] for s in every if s.link.loads and s.link.loads[-1][0] > since]
-        mean = self.table.mean_report(since)
+        mean = self.table.mean_reported_load(since)
         assert mean is None if not loads else mean == pytest.approx(sum(loads) / len(loads))
-        assert self.table.kb == pytest.approx(sum(s.link.kb for s in every))
-        cold = {s.row.server for s in self.table.cold(self.now, COLD)}
+        assert self.table.total_kb == pytest.approx(sum(s.link.kb for s in every))
+        cold = {s.row.server for s in self.table.cold_servers(self.now, COLD)}
         told = {s.row.server for s in every if s.row.started_at and self.now - s.started() < COLD}
-        assert cold >= {s for s in told if self.table.all[s].row.state is ServerState.READY}
+        assert cold >= {s for s in told if self.table.by_number[s].row.state is ServerState.READY}
 
 
 TestServerTable = TableMachine.TestCase
@@ -110,7 +110,7 @@
 def test_servers_that_have_gone_are_forgotten_but_for_those_with_sessions(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(server_table, "MOST_GONE", 10)
+    monkeypatch.setattr(server_table, "MAX_GONE_SERVERS", 10)
     driven = DrivenFront(facts(100), 100)
     _, server = driven.start(3)
     rows = [ev.ServerRow(n, 0, 0, n % 20, ServerState.GONE, 1.0, 0) for n in range(1, 101)]
