--- a/ponddoor/capacity/control_measure.py
+++ b/ponddoor/capacity/control_measure.py
@@ -41,9 +41,9 @@
     before, size = resident(), course.fronts
     world = VirtualFleet(course)
     world.start_all()
-    world.until(SECOND)
+    world.run_until(SECOND)
     world.acquaint()
-    world.until(SETTLED)
+    world.run_until(SETTLED)
     memory = (resident() - before) / size
     if under == "zone-dead":
         for node in world.nodes:
@@ -53,7 +53,7 @@
     if under == "roll":
         _roll(world)
     took = time.process_time()
-    world.until(world.now + PLAYED)
+    world.run_until(world.now + PLAYED)
     took = time.process_time() - took
     return [*_figures(world, took), Figure("control.memory", memory, "B")]
 
@@ -61,8 +61,8 @@
 def _roll(world: VirtualFleet) -> None:
     for turn in range(PLAYED // ROLLED):
         node = world.nodes[turn % world.course.fronts]
-        world.at(world.now + turn * ROLLED, lambda node=node: world.stop(node))  # type: ignore[misc]
-        world.at(world.now + turn * ROLLED + DOWN, lambda node=node: world.start(node))  # type: ignore[misc]
+        world.schedule_at(world.now + turn * ROLLED, lambda node=node: world.stop(node))  # type: ignore[misc]
+        world.schedule_at(world.now + turn * ROLLED + DOWN, lambda node=node: world.start(node))  # type: ignore[misc]
 
 
 def _figures(world: VirtualFleet, took: float) -> list[Figure]:
--- a/ponddoor/capacity/know_measure.py
+++ b/ponddoor/capacity/know_measure.py
@@ -69,8 +69,8 @@
         """Until 99% know, and for so long at least."""
         end = self.now + most
         while MOST not in self.reached and self.now < end:
-            self.until(min(self.now + SECOND, end))
-        self.until(max(self.now, self.since + least))
+            self.run_until(min(self.now + SECOND, end))
+        self.run_until(max(self.now, self.since + least))
 
     def told(self, what: str, under: str) -> list[Figure]:
         """The times since; where a share was not reached, how long was waited, under another condition."""
@@ -91,20 +91,20 @@
     begun, began_at = time.process_time(), world.now
     found: list[Figure]
     if under == "start":
-        world.until(SECOND)
+        world.run_until(SECOND)
         world.expect([everybody - {number} for number in range(size)], False)
         world.matters, world.most_wrong = nobody, 0
         world.wrong, world.known = world.known, 0
         found = _started(world)
     else:
-        world.until(SECOND)
+        world.run_until(SECOND)
         world.acquaint()
-        world.until(SETTLED)
+        world.run_until(SETTLED)
         world.count_anew()
         world.most_wrong = 0
         begun, began_at = time.process_time(), world.now
         if under == "calm":
-            world.until(world.now + CALM)
+            world.run_until(world.now + CALM)
             found = []
         elif under.startswith("apart-"):
             found = _apart(world, under, int(under.removeprefix("apart-")) * SECOND)
@@ -132,7 +132,7 @@
     found = world.told("dead", under)
     world.expect(matters, False)
     for node in gone:
-        world.after(0, SECOND, lambda node=node: world.start(node))  # type: ignore[misc]
+        world.schedule_after(0, SECOND, lambda node=node: world.start(node))  # type: ignore[misc]
     world.wait(LONGEST)
     return found + world.told("alive", under)
 
@@ -144,7 +144,7 @@
     world.cut = {(a, b) for a in zones for b in zones if (a < half) != (b < half)}
     matters = [{o.number for o in nodes if (o.zone < half) != (node.zone < half)} for node in nodes]
     world.expect(matters, True)
-    world.until(world.now + lasts)
+    world.run_until(world.now + lasts)
     found = world.told("dead", under)
     world.cut = set()
     world.expect(matters, False)
@@ -157,7 +157,7 @@
     pairs = world.course.fronts * (world.course.fronts - 1)
     last = world.now
     while world.now < LONGEST:
-        world.until(world.now + SECOND)
+        world.run_until(world.now + SECOND)
         if world.wrong > pairs / 1000:
             last = world.now
         elif world.now - last > 60 * SECOND:
--- a/ponddoor/capacity/virtual_measure.py
+++ b/ponddoor/capacity/virtual_measure.py
@@ -33,7 +33,7 @@
 from ponddoor.interface.script import Script
 from ponddoor.runtime.driver import Driver
 from ponddoor.settings.site import loads
-from ponddoor.world import Links, World
+from ponddoor.world import LinkModel, World
 
 SECOND = 1_000_000
 HEADERS = 28  # bytes of IP and UDP a word; the sealed words of the HTTP front have SEALED more
@@ -155,7 +155,7 @@
     def __init__(self, course: Course) -> None:
         super().__init__(course.seed)
         self.course, self.facts = course, facts(course)
-        self.links = Links(course.loss, 0.0, 0.0, LATE, LATE)
+        self.links = LinkModel(course.loss, 0.0, 0.0, LATE, LATE)
         self.nodes = [Node(n, n * course.zones // course.fronts) for n in range(course.fronts)]
         self.cut: set[tuple[int, int]] = set()  # zones, one way
         self.asked = [0.0] * (course.servers + 1)  # kB a second, at each server
@@ -185,7 +185,7 @@
 
     def start_all(self, within: int = SECOND) -> None:
         for node in self.nodes:
-            self.after(0, within, lambda node=node: self.start(node))  # type: ignore[misc]
+            self.schedule_after(0, within, lambda node=node: self.start(node))  # type: ignore[misc]
 
     def acquaint(self) -> None:
         """As after hours together: each front has heard every other. A fleet that has just begun has not, for
@@ -213,7 +213,7 @@
 
     # Words
 
-    def apart(self, sender: int, to: int) -> bool:
+    def is_partitioned(self, sender: int, to: int) -> bool:
         return bool(self.cut) and (self.nodes[sender].zone, self.nodes[to].zone) in self.cut
 
     def send(self, node: Node, tells: Iterable[act.SendPeerMessage]) -> None:
@@ -224,7 +224,7 @@
             node.said[kind] += len(targets)
             node.told[kind] += len(targets) * len(payload)
             for to in targets:
-                self.pass_on(node.number, to, self.links,
+                self.transmit(node.number, to, self.links,
                              lambda to=to, payload=payload: self.arrive(node.number, to, payload))  # type: ignore[misc]  # fmt: skip
 
     def arrive(self, sender: int, to: int, payload: bytes) -> None:
@@ -257,7 +257,7 @@
         due = max(node.core.until, self.now + 1)
         if not node.armed or due < node.armed:  # one timer is enough: a later moment is asked for as it comes
             node.armed, life = due, node.life
-            self.at(due, lambda: self.bare(node, life))
+            self.schedule_at(due, lambda: self.bare(node, life))
         self.watch(node)
 
     # Decisions, servers and viewers
@@ -273,12 +273,12 @@
                 case act.SendPeerMessage():
                     tells.append(action)
                 case act.SetTimer(at, cookie):
-                    self.at(at, lambda cookie=cookie: self.later(node, life, ev.TimerDue(cookie)))  # type: ignore[misc]
+                    self.schedule_at(at, lambda cookie=cookie: self.later(node, life, ev.TimerDue(cookie)))  # type: ignore[misc]
                 case act.Probe(server):
-                    self.after(1000, LATE, lambda server=server: self.probed(node, life, server))  # type: ignore[misc]
+                    self.schedule_after(1000, LATE, lambda server=server: self.probed(node, life, server))  # type: ignore[misc]
                 case act.Setup(req_id, server, _):
                     node.attempts[req_id] = node.attempts.get(req_id, -1) + 1
-                    self.after(2000, 4 * LATE, lambda one=action: self.set_up(node, life, one))  # type: ignore[misc]
+                    self.schedule_after(2000, 4 * LATE, lambda one=action: self.set_up(node, life, one))  # type: ignore[misc]
                 case act.SetRung(req_id, rung) if (node.number, life, req_id) in self.playing:
                     server, held = self.playing[node.number, life, req_id]
                     self.playing[node.number, life, req_id] = server, rung
@@ -312,7 +312,7 @@
         self.asked[asked.server] += self.rates[rung]
         self.feed(node, ev.Started(asked.req_id, attempt, asked.server, 20_000))
         lasts = round(self.rng.expovariate(1 / LENGTH))
-        self.at(self.now + lasts, lambda: self.ended(node, life, asked.req_id, attempt))
+        self.schedule_at(self.now + lasts, lambda: self.ended(node, life, asked.req_id, attempt))
 
     def ended(self, node: Node, life: int, req_id: int, attempt: int) -> None:
         held = self.playing.pop((node.number, life, req_id), None)
@@ -324,7 +324,7 @@
 
     def next_arrival(self, node: Node, life: int) -> None:
         gap = round(self.rng.expovariate(self.course.arrivals / SECOND))
-        self.at(self.now + gap, lambda: self.arrival(node, life))
+        self.schedule_at(self.now + gap, lambda: self.arrival(node, life))
 
     def arrival(self, node: Node, life: int) -> None:
         if not node.up or node.life != life:
@@ -336,7 +336,7 @@
         self.feed(node, asked)
         if self.course.rude and self.rng.random() < self.course.rude:
             # A client that leaves before it is answered, or as it is
-            self.after(1000, 30_000, lambda: self.left(node, life, number))
+            self.schedule_after(1000, 30_000, lambda: self.left(node, life, number))
         self.next_arrival(node, life)
 
     def left(self, node: Node, life: int, number: int) -> None:
--- a/ponddoor/config/followers.py
+++ b/ponddoor/config/followers.py
@@ -45,7 +45,7 @@
 from ponddoor.raft import simulation as raft
 from ponddoor.settings.sexpr import Listing, parse
 from ponddoor.settings.site import Site, check
-from ponddoor.world import Links, World, first_to_fail, least_of
+from ponddoor.world import LinkModel, World, find_failing_seed, minimise_schedule
 
 SECOND = 1_000_000
 HOUR = 3600 * SECOND
@@ -285,7 +285,7 @@
     def __init__(self, plan: Schedule, make: Callable[..., Follower] = Quick) -> None:
         super().__init__(plan.seed)
         self.plan, self.make, self.found = plan, make, Found()
-        self.links = Links(plan.loss, 0.0, plan.slow, 20_000, SECOND)
+        self.links = LinkModel(plan.loss, 0.0, plan.slow, 20_000, SECOND)
         self.log = committed()
         last = len(self.log) - plan.versions - 10 * plan.bursts - 5
         self.head = self.rng.randint(1, max(last, 1))
@@ -301,7 +301,7 @@
     def fail(self, why: str) -> None:
         raise BoundBrokenError(f"seed {self.plan.seed}: {why} at {self.now}")
 
-    def apart(self, sender: int, to: int) -> bool:
+    def is_partitioned(self, sender: int, to: int) -> bool:
         """Instances count from 0, fronts from INSTANCES."""
         return (sender, to) in self.cut
 
@@ -310,7 +310,11 @@
         plan, end = self.plan, self.plan.seconds * SECOND
         self._begin_instances()
         for front in self.fronts:
-            self.after(0, SECOND if plan.apart == 0 else SECOND // 10, lambda f=front: self._start(f))  # type: ignore[misc]
+            self.schedule_after(
+                0,
+                SECOND if plan.apart == 0 else SECOND // 10,
+                lambda f=front: self._start(f),  # type: ignore[misc]
+            )
         for count, what in (
             (plan.versions, self._commit),
             (plan.bursts, self._burst),
@@ -320,32 +324,32 @@
             (plan.kills, self._some_kill),
         ):
             for _ in range(count):
-                self.after(SECOND // 2, end, what)
+                self.schedule_after(SECOND // 2, end, what)
         if plan.apart:
             self._all_apart(end)
         if plan.parted:
             self._parted(end)
-        self.until(end)
+        self.run_until(end)
         self._quiet()
         return self.found
 
     def _all_apart(self, end: int) -> None:
         """All fronts are cut off from all instances together, as a zone is."""
-        self.until(end - self.plan.apart * SECOND)
+        self.run_until(end - self.plan.apart * SECOND)
         links = [(i, INSTANCES + f) for i in range(INSTANCES) for f in range(len(self.fronts))]
         self.cut |= {*links, *((b, a) for a, b in links)}
 
     def _parted(self, end: int) -> None:
         """Two instances have no leader, and half of the fronts reach them alone: these stay, say so, and ask
         seldom; the others move to those that have a leader."""
-        self.until(end - self.plan.parted * SECOND)
+        self.run_until(end - self.plan.parted * SECOND)
         self.sides = [0, 0, 0, 1, 1]
         alone = [front for front in self.fronts if front.number % 2]
         links = [(i, INSTANCES + front.number) for i in range(3) for front in alone]
         self.cut |= {*links, *((b, a) for a, b in links)}
-        self.until(self.now + 10 * SECOND)
+        self.run_until(self.now + 10 * SECOND)
         before, began = [(front.ever, front.asked) for front in self.fronts], self.now
-        self.until(end)
+        self.run_until(end)
         most = 4 + 3 * self.plan.parted // 15
         for front, (ever, asked) in zip(self.fronts, before, strict=True):
             held = front.follower
@@ -364,7 +368,7 @@
 
     def _quiet(self) -> None:
         """The trouble is over: all are at the newest that they can use in time, and so it goes on."""
-        self.faults = False
+        self.faults_enabled = False
         self.cut.clear()
         self._calm_instances()
         for instance in self.instances:
@@ -374,7 +378,7 @@
                 self._start(front)
         began = self.now
         while self.now < began + RETURN:
-            self.until(self.now + SECOND // 10)
+            self.run_until(self.now + SECOND // 10)
             if not all(self._well(front) for front in self.fronts):
                 self.found.latest = self.now - began
         for front in self.fronts:
@@ -385,8 +389,8 @@
         least, together = self.head, self.rng.random() < 0.5
         for _ in range(4):
             self._commit()
-            self.until(self.now + (0 if together else SECOND // 2))
-        self.until(self.now + RETURN)
+            self.run_until(self.now + (0 if together else SECOND // 2))
+        self.run_until(self.now + RETURN)
         for front in self.fronts:
             self._newest_of(front, least)
             self._known(front)
@@ -487,11 +491,11 @@
         leads = min(there)
         for number in there:
             late = self.rng.randint(1_000, 40_000) if number != leads else 0
-            if self.faults and self.rng.random() < self.plan.lag:
+            if self.faults_enabled and self.rng.random() < self.plan.lag:
                 late = self.rng.randint(0, 4 * SECOND)
                 self.instances[number].slow_until = max(self.instances[number].slow_until, self.now + late)
             head, life = self.head, self.instances[number].life
-            self.after(late, late, lambda n=number, h=head, k=life: self._applies(n, h, k))  # type: ignore[misc]
+            self.schedule_after(late, late, lambda n=number, h=head, k=life: self._applies(n, h, k))  # type: ignore[misc]
 
     def _burst(self) -> None:
         for _ in range(self.rng.randint(2, 10)):
@@ -516,7 +520,7 @@
                 if connection.sent >= 0 and isinstance(connection.wants, Watch):
                     self._send(connection, "line", self._beat(instance))
         life = instance.life
-        self.at(self.now + SECOND // 2, lambda: self._tick(instance, life))
+        self.schedule_at(self.now + SECOND // 2, lambda: self._tick(instance, life))
 
     def _is_apart(self, instance: Instance) -> bool:
         return self.now - instance.heard_leader > APART
@@ -528,19 +532,19 @@
     def _some_split(self) -> None:
         """Instances are cut off from one another: a former leader goes on telling what it has."""
         self.sides = [self.rng.randint(0, 1) for _ in range(INSTANCES)]
-        self.after(SECOND // 2, 8 * SECOND, self._together)
+        self.schedule_after(SECOND // 2, 8 * SECOND, self._together)
 
     def _together(self) -> None:
         self.sides = [0] * INSTANCES
 
     def _some_kill(self) -> None:
         instance = self.instances[self.rng.randrange(INSTANCES)]
-        if not instance.up or not self.faults:
+        if not instance.up or not self.faults_enabled:
             return
         instance.up, instance.life = False, instance.life + 1
         for connection in list(instance.connections):
             self._break(connection)
-        self.after(SECOND // 5, 4 * SECOND, lambda: self._again(instance))
+        self.schedule_after(SECOND // 5, 4 * SECOND, lambda: self._again(instance))
 
     def _again(self, instance: Instance) -> None:
         """It is back with what its disk says is committed, which may be less than it told before."""
@@ -563,26 +567,26 @@
         if count > MOST_REQUESTS:
             self.fail(f"front {front.number} asks {count} times in a second")
         here, there = INSTANCES + front.number, wants.instance
-        arrives = self.pass_on(here, there, self.links, lambda: self._accept(connection))
+        arrives = self.transmit(here, there, self.links, lambda: self._accept(connection))
         if not arrives:
-            self.at(self.now + CONNECT, lambda: self._ends(connection, Loss.LATE))
+            self.schedule_at(self.now + CONNECT, lambda: self._ends(connection, Loss.LATE))
 
     def _accept(self, connection: Connection) -> None:
         instance, front = connection.instance, connection.front
         here, there = INSTANCES + front.number, instance.number
         if connection.left:
             return
-        if self.apart(there, here):
-            self.at(self.now + CONNECT, lambda: self._ends(connection, Loss.LATE))
+        if self.is_partitioned(there, here):
+            self.schedule_at(self.now + CONNECT, lambda: self._ends(connection, Loss.LATE))
             return
         if instance.dead:
-            self.at(self.now + CONNECT, lambda: self._ends(connection, Loss.LATE))
+            self.schedule_at(self.now + CONNECT, lambda: self._ends(connection, Loss.LATE))
             return
         if not instance.up:
-            self.after(500, 20_000, lambda: self._ends(connection, Loss.REFUSED))
+            self.schedule_after(500, 20_000, lambda: self._ends(connection, Loss.REFUSED))
             return
         instance.requests.append(self.now)
-        if self.faults and self.rng.random() < self.plan.breaks:
+        if self.faults_enabled and self.rng.random() < self.plan.breaks:
             self._send(connection, "turned-away", None)
             return
         connection.sent = 0
@@ -620,7 +624,7 @@
         """Something goes to the front, after what went before; it may be spoilt, doubled or lost."""
         if connection.ended:
             return
-        plan, draw = self.plan, self.rng.random() if self.faults else 1.0
+        plan, draw = self.plan, self.rng.random() if self.faults_enabled else 1.0
         if draw < plan.breaks:
             self._break(connection)
             return
@@ -631,7 +635,7 @@
             spoilt = self._spoilt(what, held)
             right, held = spoilt == held, spoilt
         connection.waiting.append((what, held, right))
-        if self.faults and what == "line" and self.rng.random() < plan.doubled:
+        if self.faults_enabled and what == "line" and self.rng.random() < plan.doubled:
             connection.waiting.append((what, held, right))
         if not connection.pumping:
             connection.pumping = True
@@ -656,14 +660,14 @@
         return held
 
     def _pump_later(self, connection: Connection) -> None:
-        late = self.faults and self.rng.random() < self.plan.loss + self.plan.slow
-        self.after(300, 400_000 if late else 8_000, lambda: self._pump(connection))
+        late = self.faults_enabled and self.rng.random() < self.plan.loss + self.plan.slow
+        self.schedule_after(300, 400_000 if late else 8_000, lambda: self._pump(connection))
 
     def _pump(self, connection: Connection) -> None:
         """What waits arrives in its order; over a link that is cut it waits on."""
         front = connection.front
-        if self.apart(connection.instance.number, INSTANCES + front.number):
-            self.after(200_000, 400_000, lambda: self._pump(connection))
+        if self.is_partitioned(connection.instance.number, INSTANCES + front.number):
+            self.schedule_after(200_000, 400_000, lambda: self._pump(connection))
             return
         connection.pumping = False
         if connection.waiting:
@@ -677,10 +681,10 @@
         """It ends at the instance; the front hears of it, or not."""
         self._end(connection)
         connection.waiting.clear()
-        if self.rng.random() < 0.8 or not self.faults:
+        if self.rng.random() < 0.8 or not self.faults_enabled:
             front = connection.front
-            if not self.apart(connection.instance.number, INSTANCES + front.number):
-                self.after(500, 30_000, lambda: self._ends(connection, Loss.BROKEN))
+            if not self.is_partitioned(connection.instance.number, INSTANCES + front.number):
+                self.schedule_after(500, 30_000, lambda: self._ends(connection, Loss.BROKEN))
 
     def _end(self, connection: Connection) -> None:
         connection.ended = True
@@ -692,7 +696,7 @@
         if connection is None:
             return
         connection.left = True
-        self.after(500, 20_000, lambda: self._end(connection))
+        self.schedule_after(500, 20_000, lambda: self._end(connection))
 
     def _stale(self, connection: Connection) -> bool:
         """Whether what comes of a connection is nothing to its front any more."""
@@ -701,7 +705,7 @@
         if not connection.left and connection.front.connection is connection:
             return False
         front = connection.front
-        return front.follower is None or not self.faults or self.rng.random() >= self.plan.sloppy
+        return front.follower is None or not self.faults_enabled or self.rng.random() >= self.plan.sloppy
 
     def _ends(self, connection: Connection, how: Loss) -> None:
         front = connection.front
@@ -752,7 +756,7 @@
         back = {(b, a) for a, b in gone}
         gone = self.rng.choice([gone, back, gone | back, gone | back])
         self.cut |= gone
-        self.after(SECOND // 2, 8 * SECOND, lambda: self.cut.difference_update(gone))
+        self.schedule_after(SECOND // 2, 8 * SECOND, lambda: self.cut.difference_update(gone))
 
     # Fronts
 
@@ -780,14 +784,14 @@
     def _wall(self, front: Front) -> int:
         """The Unix clock of a front's machine, which may have been set back; not beside a disk that fails."""
         kept = msgspec.json.decode(front.disk.partition(b"\n")[0])["life"] if front.disk else 0
-        back = self.faults and kept == front.last_life and self.rng.random() < 0.2
+        back = self.faults_enabled and kept == front.last_life and self.rng.random() < 0.2
         return HOUR + self.now - (self.rng.randint(0, HOUR) if back else 0)
 
     def _some_crash(self) -> None:
         self._crash(self.fronts[self.rng.randrange(len(self.fronts))])
 
     def _crash(self, front: Front) -> None:
-        if front.follower is None or not self.faults:
+        if front.follower is None or not self.faults_enabled:
             return
         self.found.crashes += 1
         for reason, count in front.follower.counts.items():
@@ -798,7 +802,9 @@
         front.follower, front.serving, front.writing = None, None, None
         front.life += 1
         life = front.life
-        self.after(SECOND // 10, 3 * SECOND, lambda: self._start(front) if front.life == life else None)
+        self.schedule_after(
+            SECOND // 10, 3 * SECOND, lambda: self._start(front) if front.life == life else None
+        )
 
     def _carry_out(self, front: Front, effects: list[Effect]) -> None:
         self.touched.append(front)
@@ -826,12 +832,12 @@
         if self.now < front.told_at + 5 * SECOND:
             self.fail(f"front {front.number} reports again after {self.now - front.told_at} us")
         front.told_at, life = self.now, front.life
-        away = self.apart(INSTANCES + front.number, instance) or not self.instances[instance].up
-        ok = not away and (not self.faults or self.rng.random() >= self.plan.loss)
+        away = self.is_partitioned(INSTANCES + front.number, instance) or not self.instances[instance].up
+        ok = not away and (not self.faults_enabled or self.rng.random() >= self.plan.loss)
         newest = front.told is None or (report.life, report.number) > (front.told.life, front.told.number)
         if ok and newest:
             front.told = report
-        self.after(1_000, 40_000, lambda: self._told(front, life, ok))
+        self.schedule_after(1_000, 40_000, lambda: self._told(front, life, ok))
 
     def _told(self, front: Front, life: int, ok: bool) -> None:
         if front.life == life and front.follower is not None:
@@ -842,15 +848,15 @@
             self.fail(f"front {front.number} writes twice at once")
         front.writing = (number, data)
         life = front.life
-        if self.faults and self.rng.random() < self.plan.hunted:
-            self.after(0, 30_000, lambda: self._crash(front) if front.life == life else None)
-        self.after(500, 20_000, lambda: self._durable(front, life))
+        if self.faults_enabled and self.rng.random() < self.plan.hunted:
+            self.schedule_after(0, 30_000, lambda: self._crash(front) if front.life == life else None)
+        self.schedule_after(500, 20_000, lambda: self._durable(front, life))
 
     def _durable(self, front: Front, life: int) -> None:
         if front.life != life or front.writing is None or front.follower is None:
             return
         (number, data), front.writing = front.writing, None
-        ok = not (self.faults and self.rng.random() < self.plan.disk_errors)
+        ok = not (self.faults_enabled and self.rng.random() < self.plan.disk_errors)
         if ok:
             front.disk = data
         self._carry_out(front, front.follower.kept(self.now, number, ok))
@@ -872,9 +878,9 @@
         if why:
             self.fail(f"front {front.number} takes version {take.number}: {why[0]}")
         front.ever, front.serving = take.number, take.site
-        if self.faults and self.rng.random() < self.plan.hunted / 2:
+        if self.faults_enabled and self.rng.random() < self.plan.hunted / 2:
             life = front.life
-            self.after(0, 30_000, lambda: self._crash(front) if front.life == life else None)
+            self.schedule_after(0, 30_000, lambda: self._crash(front) if front.life == life else None)
 
     def _timed(self, front: Front) -> None:
         """Have it called when it wants to be."""
@@ -885,7 +891,7 @@
             return
         front.timer = max(due, self.now)
         life, moment = front.life, front.timer
-        self.at(moment, lambda: self._due(front, life, moment))
+        self.schedule_at(moment, lambda: self._due(front, life, moment))
 
     def _due(self, front: Front, life: int, moment: int) -> None:
         if front.life != life or front.follower is None or front.timer != moment:
@@ -893,7 +899,7 @@
         front.timer = -1
         self._carry_out(front, front.follower.due(self.now))
 
-    def checked(self) -> None:
+    def check_invariants(self) -> None:
         """After each step: what a front says is in force is what it took, and it never says less."""
         self.found.steps = self.steps
         self.moment = (self.now, self.moment[1] + 1 if self.now == self.moment[0] else 0)
@@ -951,7 +957,7 @@
                 for connection in list(instance.connections):
                     if connection.sent >= 0 and isinstance(connection.wants, Watch):
                         self._send(connection, "line", self._beat(instance))
-        self.at(self.now + STEP, self._beside)
+        self.schedule_at(self.now + STEP, self._beside)
 
     def _is_apart(self, instance: Instance) -> bool:
         core = self.raft.nodes[instance.number].raft
@@ -962,7 +968,7 @@
 
     def _commit(self) -> None:
         """Once the trouble is over: under it the members' own clients propose."""
-        if not self.faults:
+        if not self.faults_enabled:
             self.raft._propose("last", self.head + 1)
 
     def _burst(self) -> None:
@@ -1015,7 +1021,7 @@
     first: int, count: int, make: Callable[..., Follower] = Quick, shape: Callable[[int], Schedule] = drawn
 ) -> tuple[int, str]:
     """Run schedules one after the other until one fails; returns how many ran and what failed."""
-    return first_to_fail(first, count, lambda seed: simulation(shape(seed), make).run(), BoundBrokenError)
+    return find_failing_seed(first, count, lambda seed: simulation(shape(seed), make).run(), BoundBrokenError)
 
 
 def shrunk(plan: Schedule, make: Callable[..., Follower] = Quick) -> Schedule:
@@ -1023,7 +1029,9 @@
     names = ("crashes", "cuts", "splits", "kills", "bursts", "fronts", "versions", "seconds", "loss", "slow",
              "lag", "breaks", "doubled", "dropped", "spoilt", "sloppy", "disk_errors", "hunted")  # fmt: skip
     least = {"fronts": 1, "seconds": 2, "versions": 1}
-    return least_of(plan, names, least, lambda other: simulation(other, make).run(), BoundBrokenError)
+    return minimise_schedule(
+        plan, names, least, lambda other: simulation(other, make).run(), BoundBrokenError
+    )
 
 
 def played(first: int, count: int, shape: Callable[[int], Schedule] = drawn) -> Found:
--- a/ponddoor/fleet/simulation.py
+++ b/ponddoor/fleet/simulation.py
@@ -21,7 +21,7 @@
 from ponddoor.interface import facts as fx
 from ponddoor.interface import words
 from ponddoor.interface.script import Script
-from ponddoor.world import Links, World, first_to_fail, least_of
+from ponddoor.world import LinkModel, World, find_failing_seed, minimise_schedule
 
 SECOND = 1_000_000
 PERIOD = SECOND // 2
@@ -103,7 +103,7 @@
     def __init__(self, plan: Schedule, make: Callable[..., Fleet] = Fleet) -> None:
         super().__init__(plan.seed)
         self.plan, self.make, self.found = plan, make, Found()
-        self.links = Links(plan.loss, plan.double, plan.slow, 30_000, plan.late)
+        self.links = LinkModel(plan.loss, plan.double, plan.slow, 30_000, plan.late)
         self.cut: set[tuple[int, int]] = set()
         self.nodes = [
             Node(n, 1 + plan.drift * self.rng.uniform(-1, 1), self.rng.randrange(HOUR), 9 * HOUR)
@@ -118,7 +118,7 @@
     def clock(self, node: Node) -> int:
         return node.offset + round(self.now * node.rate)
 
-    def apart(self, sender: int, to: int) -> bool:
+    def is_partitioned(self, sender: int, to: int) -> bool:
         return (sender, to) in self.cut
 
     def fail(self, why: str) -> None:
@@ -128,16 +128,16 @@
         """Play the schedule. Raises BoundBrokenError."""
         plan, end = self.plan, self.plan.seconds * SECOND
         for node in self.nodes:
-            self.after(0, SECOND, lambda node=node: self._start(node))  # type: ignore[misc]
+            self.schedule_after(0, SECOND, lambda node=node: self._start(node))  # type: ignore[misc]
         for count, what in ((plan.crashes, self._crash), (plan.cuts, self._cut), (plan.pauses, self._pause)):
             for _ in range(count):
-                self.after(2 * SECOND, end * 3 // 4, what)
-        self.until(end)
-        self.faults = False
+                self.schedule_after(2 * SECOND, end * 3 // 4, what)
+        self.run_until(end)
+        self.faults_enabled = False
         self.cut.clear()
         for node in self.nodes:
             node.paused_until = 0
-        self.until(end + plan.late)
+        self.run_until(end + plan.late)
         self._settled()
         return self.found
 
@@ -168,7 +168,7 @@
         node.listening = []
         self._play(node, fleet.talking(lambda server: None, lambda keeper: self._rates(node, keeper)))
         life = node.life
-        self.after(0, PERIOD, lambda: self._turn(node, life, 0))
+        self.schedule_after(0, PERIOD, lambda: self._turn(node, life, 0))
 
     def _group(self, server: int) -> int:
         return server % GROUPS
@@ -190,7 +190,7 @@
             fleet.now = self.clock(node)
             assert node.asks is not None
             server = rng.choice(SERVERS)
-            if self.faults:
+            if self.faults_enabled:
                 node.asks[server] = 4.0 * rng.randrange(0, 50)
                 bad = server == FAILING
                 seen = words.Ends(2, 0) if bad else words.Ends(0, 2)
@@ -203,9 +203,9 @@
             self._play(node, fleet.lend(range(GROUPS)))
             for server in (rng.choice([1, 3]), 2):  # of either group one
                 self._play(node, self._wants(node, server))
-            if node.rogue and self.faults:
+            if node.rogue and self.faults_enabled:
                 self._nonsense(node)
-        self.at(self.now + round(PERIOD * node.rate), lambda: self._turn(node, life, turn + 1))
+        self.schedule_at(self.now + round(PERIOD * node.rate), lambda: self._turn(node, life, turn + 1))
 
     def _nonsense(self, node: Node) -> None:
         """Within the format: all others are silent, all servers bad for everybody, a life that can't be."""
@@ -254,13 +254,13 @@
 
     def _later(self, node: Node, until: int) -> None:
         life, left = node.life, max(until - self.clock(node), 0)
-        self.at(self.now + round(left / node.rate) + 1, lambda: self._wake(node, life))
+        self.schedule_at(self.now + round(left / node.rate) + 1, lambda: self._wake(node, life))
 
     def _wake(self, node: Node, life: int) -> None:
         if node.fleet is None or node.life != life:
             return
         if self.now < node.paused_until:
-            self.at(node.paused_until, lambda: self._wake(node, life))
+            self.schedule_at(node.paused_until, lambda: self._wake(node, life))
             return
         now = node.fleet.now = self.clock(node)
         assert node.listening is not None
@@ -275,14 +275,14 @@
         if isinstance(word, words.Telling):
             told = self.told.setdefault((node.number, word.life), set())
             told.update((rate.server, rate.kb) for rate in word.rates)
-        self.pass_on(node.number, to, self.links, lambda: self._arrive(node.number, to, payload))
+        self.transmit(node.number, to, self.links, lambda: self._arrive(node.number, to, payload))
 
     def _arrive(self, sender: int, to: int, payload: bytes) -> None:
         node = self.nodes[to]
         if node.fleet is None:
             return
         if self.now < node.paused_until:
-            self.at(node.paused_until, lambda: self._arrive(sender, to, payload))
+            self.schedule_at(node.paused_until, lambda: self._arrive(sender, to, payload))
             return
         fleet, word = node.fleet, words.unpack(payload)
         fleet.now = self.clock(node)
@@ -309,14 +309,14 @@
 
     def _crash(self) -> None:
         node = self._some()
-        if node.fleet is None or not self.faults:
+        if node.fleet is None or not self.faults_enabled:
             return
         node.fleet, node.asks, node.listening = None, None, None
         node.life += 1
         self.found.crashes += 1
         if self.rng.random() < self.plan.walls:
             node.wall += self.rng.choice([-HOUR, HOUR])
-        self.after(100_000, self.plan.down, lambda: self._start(node))
+        self.schedule_after(100_000, self.plan.down, lambda: self._start(node))
 
     def _cut(self) -> None:
         """Some hear nothing of the others, or are heard by none, or both, for a while."""
@@ -327,14 +327,14 @@
         back = {(b, a) for a, b in there}
         gone = (back if turned else there) if one_way else there | back
         self.cut |= gone
-        self.after(SECOND, 8 * SECOND, lambda: self.cut.difference_update(gone))
+        self.schedule_after(SECOND, 8 * SECOND, lambda: self.cut.difference_update(gone))
 
     def _pause(self) -> None:
         self._some().paused_until = self.now + self.rng.randint(200_000, 5 * SECOND)
 
     # What holds
 
-    def checked(self) -> None:
+    def check_invariants(self) -> None:
         self.found.steps = self.steps
         if self.steps % 16:
             return
@@ -384,7 +384,7 @@
         for node in self.nodes:
             if node.fleet is None:
                 self._start(node)
-        self.until(self.now + self._round())
+        self.run_until(self.now + self._round())
         for node in self.nodes:
             fleet = node.fleet
             assert fleet is not None
@@ -447,11 +447,13 @@
     first: int, count: int, make: Callable[..., Fleet] = Fleet, shape: Callable[[int], Schedule] = drawn
 ) -> tuple[int, str]:
     """Run schedules one after the other until one fails; returns how many ran and what failed."""
-    return first_to_fail(first, count, lambda seed: Simulation(shape(seed), make).run(), BoundBrokenError)
+    return find_failing_seed(first, count, lambda seed: Simulation(shape(seed), make).run(), BoundBrokenError)
 
 
 def shrunk(plan: Schedule, make: Callable[..., Fleet] = Fleet) -> Schedule:
     """The least of a failing schedule that still fails."""
     names = ("crashes", "cuts", "pauses", "rogues", "fronts", "seconds", "loss", "double", "slow")
     least = {"fronts": 3, "seconds": 4}
-    return least_of(plan, names, least, lambda other: Simulation(other, make).run(), BoundBrokenError)
+    return minimise_schedule(
+        plan, names, least, lambda other: Simulation(other, make).run(), BoundBrokenError
+    )
--- a/ponddoor/raft/simulation.py
+++ b/ponddoor/raft/simulation.py
@@ -38,7 +38,7 @@
 from ponddoor.raft.storage import Kept, kept_of, record_of
 from ponddoor.store.faulty import CrashError
 from ponddoor.store.journal import Journal
-from ponddoor.world import Disks, Links, Machine, first_to_fail, least_of
+from ponddoor.world import LinkModel, Machine, WorldWithDisks, find_failing_seed, minimise_schedule
 
 TICK = 50_000
 LIMITS = Limits(batch=4, window=3, piece=64, proposals=50, caught_up=4, clients=100)
@@ -110,18 +110,18 @@
     snapshots: int = 0
 
 
-class Simulation(Disks):
+class Simulation(WorldWithDisks):
     """One schedule. `make` builds the core, so that one with a guard taken out can be run as well."""
 
     def __init__(self, plan: Schedule, make: Callable[..., Raft] = Raft) -> None:
         super().__init__(plan.seed, 0.01)
         self.plan, self.make, self.found = plan, make, Found()
         self.tickets = itertools.count(1)
-        self.links = Links(plan.loss, plan.double, plan.slow, 30_000, 2_000_000)
+        self.links = LinkModel(plan.loss, plan.double, plan.slow, 30_000, 2_000_000)
         first = Members(frozenset(range(plan.members)))
         self.first = first
         self.nodes = [
-            Node(n, 1 + plan.skew * self.rng.uniform(-1, 1), self.disk())
+            Node(n, 1 + plan.skew * self.rng.uniform(-1, 1), self.new_disk())
             for n in range(plan.members + plan.spare)
         ]
         self.cut: set[tuple[int, int]] = set()
@@ -135,7 +135,7 @@
         self.reads: dict[int, int] = {}  # ticket: what was acknowledged when it was asked
         self.newest = 0  # the highest index that was acknowledged
 
-    def apart(self, sender: int, to: int) -> bool:
+    def is_partitioned(self, sender: int, to: int) -> bool:
         return (sender, to) in self.cut or to >= len(self.nodes)
 
     def fail(self, why: str) -> None:
@@ -157,7 +157,7 @@
         for node in self.nodes[: plan.members]:
             self._start(node)
         for client in range(plan.clients):
-            self.after(0, 1_000_000, lambda c=client: self._client(f"c{c}", 1))  # type: ignore[misc]
+            self.schedule_after(0, 1_000_000, lambda c=client: self._client(f"c{c}", 1))  # type: ignore[misc]
         for count, what in (
             (plan.crashes, self._some_crash),
             (plan.cuts, self._some_cut),
@@ -165,11 +165,11 @@
             (plan.changes, self._some_change),
         ):
             for _ in range(count):
-                self.after(500_000, end * 3 // 4, what)
+                self.schedule_after(500_000, end * 3 // 4, what)
 
     def calm(self) -> None:
         """The trouble is over, and who is down is back."""
-        self.faults = False
+        self.faults_enabled = False
         self.cut.clear()
         for node in self.nodes:
             node.files.crash_in = -1
@@ -180,11 +180,11 @@
 
     def _until(self, end: int) -> None:
         try:
-            self.until(end)
+            self.run_until(end)
         except BrokenPromiseError as problem:
             self.fail(str(problem))
 
-    def checked(self) -> None:
+    def check_invariants(self) -> None:
         self.found.steps = self.steps
 
     def _goes_on(self) -> None:
@@ -217,33 +217,33 @@
         try:
             held = journal.open()
         except CrashError:
-            self.down(node)
+            self.on_crash(node)
             return
         kept = kept_of(held.state, held.records)
         members = self.first if node.number < self.plan.members else Members(frozenset())
         limits = replace(LIMITS, batch=self.plan.batch)
         raft = self.make(node.number, members, limits, self.rng.getrandbits(32), kept.snapshot)
         node.raft, node.journal, node.kept, node.committing = raft, journal, kept, False
-        node.first_write = journal.next_number - 1
+        node.last_record_at_start = journal.next_number - 1
         node.applied, node.state = 0, []
         self._carry_out(node, raft.recover(kept.term, kept.vote, kept.entries))
         life = node.life
-        self.after(0, TICK, lambda: self._tick(node, life))
+        self.schedule_after(0, TICK, lambda: self._tick(node, life))
 
     def _tick(self, node: Node, life: int) -> None:
         if node.raft is None or node.life != life:
             return
         if self.now >= node.paused_until:
             self._carry_out(node, node.raft.tick())
-        self.at(self.now + round(TICK * node.rate), lambda: self._tick(node, life))
+        self.schedule_at(self.now + round(TICK * node.clock_rate), lambda: self._tick(node, life))
 
-    def down(self, node: Node) -> None:
+    def on_crash(self, node: Node) -> None:
         node.raft = node.journal = None
         node.life += 1
         self.found.crashes += 1
         node.files.crash()
         life = node.life
-        self.after(
+        self.schedule_after(
             100_000,
             3_000_000,
             lambda: self._start(node) if node.life == life and node.raft is None else None,
@@ -251,25 +251,25 @@
 
     def _some_crash(self) -> None:
         node = self.nodes[self.rng.randrange(len(self.nodes))]
-        if node.raft is None or not self.faults:
+        if node.raft is None or not self.faults_enabled:
             return
         if self.rng.random() < 0.5:
             node.files.crash_in = self.rng.randint(0, 6)
         else:
-            self.down(node)
+            self.on_crash(node)
 
     def _hunt(self, node: Node, life: int) -> None:
         """A new leader crashes, or hears nobody for a while."""
         if node.raft is None or node.life != life:
             return
         if self.rng.random() < 0.5 and not self.plan.eager:
-            self.down(node)
+            self.on_crash(node)
             return
         side = {n.number for n in self.nodes if n is node or self.rng.random() < 0.25}
         rest = [n.number for n in self.nodes if n.number not in side]
         gone = {(a, b) for a in side for b in rest} | {(b, a) for a in side for b in rest}
         self.cut |= gone
-        self.after(300_000, 3_000_000, lambda: self.cut.difference_update(gone))
+        self.schedule_after(300_000, 3_000_000, lambda: self.cut.difference_update(gone))
 
     def _some_cut(self) -> None:
         """Some links are cut, all or one way, for a while."""
@@ -279,7 +279,7 @@
         gone = {(a, b) for a in side for b in numbers if b not in side}
         gone |= {(b, a) for a, b in gone} if both else set()
         self.cut |= gone
-        self.after(500_000, 4_000_000, lambda: self.cut.difference_update(gone))
+        self.schedule_after(500_000, 4_000_000, lambda: self.cut.difference_update(gone))
 
     def _some_pause(self) -> None:
         node = self.nodes[self.rng.randrange(len(self.nodes))]
@@ -288,7 +288,7 @@
     def _some_change(self) -> None:
         """A member more or less; a learner first, a voter once it has caught up."""
         leader = self._leader()
-        if leader is None or leader.raft is None or not self.faults:
+        if leader is None or leader.raft is None or not self.faults_enabled:
             return
         members = leader.raft.members
         outside = [n.number for n in self.nodes if n.number not in members.everybody()]
@@ -304,7 +304,7 @@
             if not self.nodes[number].life:
                 self._start(self.nodes[number])
         self._carry_out(leader, leader.raft.change_members(next(self.tickets), wanted))
-        self.after(
+        self.schedule_after(
             300_000, 1_500_000, self._some_change if members.learners != wanted.learners else lambda: None
         )
 
@@ -324,7 +324,7 @@
                     record = record_of(effect)
                     node.kept.take(record)
                     self.found.snapshots += isinstance(effect, WriteSnapshot)
-                    self.write(node, record)
+                    self.append_record(node, record)
                 case Send(to, message):
                     self._send(node.number, to, message)
                 case Commit(entry, first):
@@ -352,11 +352,11 @@
             self.fail(f"members {self.leaders[raft.term]} and {node.number} lead term {raft.term}")
         self.leaders[raft.term] = node.number
         self.found.leaders += 1
-        if self.faults and self.plan.eager and self.rng.random() < self.plan.eager:
-            self.after(0, 2_000, self._some_change)
-        if self.faults and self.plan.hunted and self.rng.random() < self.plan.hunted:
+        if self.faults_enabled and self.plan.eager and self.rng.random() < self.plan.eager:
+            self.schedule_after(0, 2_000, self._some_change)
+        if self.faults_enabled and self.plan.hunted and self.rng.random() < self.plan.hunted:
             life = node.life
-            self.after(0, self.plan.hunt_within, lambda: self._hunt(node, life))
+            self.schedule_after(0, self.plan.hunt_within, lambda: self._hunt(node, life))
         for index, entry in self.log.items():
             # Leader completeness (5.4) speaks of terms from that of the commit on: one that stood still may
             # learn late that it won a term which the others have left behind
@@ -390,7 +390,7 @@
         if node.raft is not None and self.rng.random() < self.plan.compact:
             data = b"\n".join(node.state)
             number, life = node.applied, node.life
-            self.at(self.now, lambda: self._compact(node, life, number, data))
+            self.schedule_at(self.now, lambda: self._compact(node, life, number, data))
 
     def _compact(self, node: Node, life: int, number: int, data: bytes) -> None:
         if node.raft is not None and node.life == life and node.raft.applied == number:
@@ -402,22 +402,22 @@
         node.applied = snapshot.index
         node.state = snapshot.data.split(b"\n") if snapshot.data else []
 
-    def durable(self, node: Node, number: int) -> None:
+    def on_durable(self, node: Node, number: int) -> None:
         assert node.raft is not None
         self._carry_out(node, node.raft.durable(number))
 
-    def state_of(self, node: Node) -> Any:
+    def snapshot_state(self, node: Node) -> Any:
         return node.kept.state()
 
     def _send(self, sender: int, to: int, message: Any) -> None:
-        self.pass_on(sender, to, self.links, lambda: self._arrive(sender, to, message))
+        self.transmit(sender, to, self.links, lambda: self._arrive(sender, to, message))
 
     def _arrive(self, sender: int, to: int, message: Any) -> None:
         node = self.nodes[to]
         if node.raft is None:
             return
         if self.now < node.paused_until:
-            self.at(node.paused_until, lambda: self._arrive(sender, to, message))
+            self.schedule_at(node.paused_until, lambda: self._arrive(sender, to, message))
             return
         self._carry_out(node, node.raft.heard(sender, message))
 
@@ -425,7 +425,7 @@
 
     def _client(self, name: str, serial: int) -> None:
         """One proposal after the other, each sent again until it is acknowledged; now and then a read."""
-        if not self.faults:
+        if not self.faults_enabled:
             return
         if (name, serial) in self.acked:
             serial += 1
@@ -436,7 +436,7 @@
                 ticket = next(self.tickets)
                 self.reads[ticket] = self.newest
                 self._carry_out(node, node.raft.read(ticket))
-        self.after(50_000, 600_000, lambda: self._client(name, serial))
+        self.schedule_after(50_000, 600_000, lambda: self._client(name, serial))
 
     def _propose(self, name: str, serial: int) -> None:
         able = [n for n in self.nodes if n.raft is not None and self.now >= n.paused_until]
@@ -467,7 +467,7 @@
     first: int, count: int, make: Callable[..., Raft] = Raft, shape: Callable[[int], Schedule] = drawn
 ) -> tuple[int, str]:
     """Run schedules one after the other until one fails; returns how many ran and what failed."""
-    return first_to_fail(first, count, lambda seed: Simulation(shape(seed), make).run(), ViolatedError)
+    return find_failing_seed(first, count, lambda seed: Simulation(shape(seed), make).run(), ViolatedError)
 
 
 def shrunk(plan: Schedule, make: Callable[..., Raft] = Raft) -> Schedule:
@@ -475,4 +475,4 @@
     names = ("crashes", "cuts", "pauses", "changes", "spare", "clients", "seconds", "loss", "double", "slow",
              "skew", "compact")  # fmt: skip
     least = {"clients": 1, "seconds": 1}
-    return least_of(plan, names, least, lambda other: Simulation(other, make).run(), ViolatedError)
+    return minimise_schedule(plan, names, least, lambda other: Simulation(other, make).run(), ViolatedError)
--- a/ponddoor/seats/simulation.py
+++ b/ponddoor/seats/simulation.py
@@ -25,7 +25,7 @@
 )
 from ponddoor.store.faulty import CrashError
 from ponddoor.store.journal import Journal
-from ponddoor.world import Disks, Links, Machine, first_to_fail
+from ponddoor.world import LinkModel, Machine, WorldWithDisks, find_failing_seed
 
 TICK = 50_000
 
@@ -99,7 +99,7 @@
     grant_ms: list[float] = field(default_factory=list)
 
 
-class Simulation(Disks):
+class Simulation(WorldWithDisks):
     """One schedule. `make` builds the core, so that one with a guard taken out can be run as well."""
 
     def __init__(self, plan: Schedule, make: Callable[..., Seats] = Seats) -> None:
@@ -112,22 +112,22 @@
         self.asked: dict[int, Asked] = {}
         self.claims: dict[str, Claim] = {}
         self.cut: set[int] = set()
-        self.links = Links(plan.loss, plan.double, plan.slow, 40_000, 2 * plan.timing.lease)
+        self.links = LinkModel(plan.loss, plan.double, plan.slow, 40_000, 2 * plan.timing.lease)
         self.nodes = [
             Node(
                 n,
                 1 + plan.drift * self.rng.uniform(-1, 1),
                 offset=self.rng.randrange(10**9),
-                files=self.disk(),
+                files=self.new_disk(),
             )
             for n in range(plan.fronts)
         ]
 
-    def apart(self, sender: int, to: int) -> bool:
+    def is_partitioned(self, sender: int, to: int) -> bool:
         return sender in self.cut or to in self.cut
 
     def clock(self, node: Node) -> int:
-        return node.offset + round(self.now * node.rate)
+        return node.offset + round(self.now * node.clock_rate)
 
     def run(self) -> Found:
         """Play the schedule. Raises ExceededError."""
@@ -135,13 +135,13 @@
         for node in self.nodes:
             self._start(node)
         for viewer in range(plan.viewers):
-            self.after(0, 3_000_000, lambda viewer=viewer: self._viewer(f"v{viewer}", 0))  # type: ignore[misc]
+            self.schedule_after(0, 3_000_000, lambda viewer=viewer: self._viewer(f"v{viewer}", 0))  # type: ignore[misc]
         for _ in range(plan.crashes):
-            self.after(1_000_000, end * 2 // 3, self._some_crash)
+            self.schedule_after(1_000_000, end * 2 // 3, self._some_crash)
         for _ in range(plan.cuts):
-            self.after(1_000_000, end * 2 // 3, self._cut_off)
-        self.until(end)
-        self.faults = False
+            self.schedule_after(1_000_000, end * 2 // 3, self._cut_off)
+        self.run_until(end)
+        self.faults_enabled = False
         self.cut.clear()
         for node in self.nodes:
             node.files.crash_in = -1
@@ -149,11 +149,11 @@
             if node.core is None:
                 self._start(node)
         quiet = 3 * plan.timing.lease
-        self.until(end + quiet)
+        self.run_until(end + quiet)
         self._came_back()
         return self.found
 
-    def checked(self) -> None:
+    def check_invariants(self) -> None:
         self.found.steps = self.steps
         running = self._running()
         self.found.most = max(self.found.most, running)
@@ -170,11 +170,11 @@
         first = self.nodes[self.rng.randrange(len(self.nodes))]
         for number in range(self.limit):
             self._take(first, f"last{number}", lambda sess, seat: got.append(seat))
-        self.until(self.now + 4 * self.plan.timing.borrow_wait)
+        self.run_until(self.now + 4 * self.plan.timing.borrow_wait)
         if len(got) < self.limit:
             for number in range(self.limit):
                 self._take(first, f"last{number}", lambda sess, seat: got.append(seat))
-            self.until(self.now + self.plan.timing.lease)
+            self.run_until(self.now + self.plan.timing.lease)
         if len(set(got)) < self.limit:
             raise ExceededError(f"seed {self.plan.seed}: {len(set(got))} of {self.limit} seats came back")
 
@@ -187,7 +187,7 @@
         try:
             held = journal.open()
         except CrashError:
-            self.down(node)
+            self.on_crash(node)
             return
         now = self.clock(node)
         before = [row[1] for row in [*(held.state or []), *held.records] if row[0] == "begun"]
@@ -196,27 +196,27 @@
         core = self.make(node.number, self.plan.fronts, limits, timing, node.epoch, now)
         core.recover(now, held.state, held.records)
         node.core, node.journal, node.committing = core, journal, False
-        node.first_write = journal.next_number - 1
+        node.last_record_at_start = journal.next_number - 1
         self._carry_out(node, core.begin(now))
         life = node.life
-        self.after(0, TICK, lambda: self._tick(node, life))
+        self.schedule_after(0, TICK, lambda: self._tick(node, life))
 
     def _tick(self, node: Node, life: int) -> None:
         if node.core is None or node.life != life:
             return
         self._carry_out(node, node.core.tick(self.clock(node)))
-        self.at(self.now + TICK, lambda: self._tick(node, life))
+        self.schedule_at(self.now + TICK, lambda: self._tick(node, life))
 
-    def down(self, node: Node) -> None:
+    def on_crash(self, node: Node) -> None:
         """The machine stops; what was not durable may be gone, now and then the whole disk."""
         node.core = node.journal = None
         node.life += 1
         self.found.crashes += 1
         node.files.crash()
-        if self.faults and self.rng.random() < self.plan.disk_losses:
-            node.files = self.disk()
+        if self.faults_enabled and self.rng.random() < self.plan.disk_losses:
+            node.files = self.new_disk()
         life = node.life
-        self.after(
+        self.schedule_after(
             50_000,
             self.plan.down,
             lambda: self._start(node) if node.life == life and node.core is None else None,
@@ -224,18 +224,18 @@
 
     def _some_crash(self) -> None:
         node = self.nodes[self.rng.randrange(len(self.nodes))]
-        if node.core is None or not self.faults:
+        if node.core is None or not self.faults_enabled:
             return
         if self.rng.random() < 0.5:
             node.files.crash_in = self.rng.randint(0, 6)  # in the middle of one of its next disk operations
         else:
-            self.down(node)
+            self.on_crash(node)
 
     def _cut_off(self) -> None:
         """One front hears nobody and is heard by nobody, for longer than a lease or not."""
         number = self.rng.randrange(len(self.nodes))
         self.cut.add(number)
-        self.after(1_000_000, 3 * self.plan.timing.lease, lambda: self.cut.discard(number))
+        self.schedule_after(1_000_000, 3 * self.plan.timing.lease, lambda: self.cut.discard(number))
 
     def _carry_out(self, node: Node, effects: list[Effect]) -> None:
         life = node.life
@@ -244,7 +244,7 @@
                 return
             match effect:
                 case Write(_, record):
-                    self.write(node, record)
+                    self.append_record(node, record)
                 case Send(peer, message):
                     self._send(node.number, peer, message)
                 case Granted():
@@ -257,17 +257,17 @@
                 case Expired():
                     pass
 
-    def durable(self, node: Node, number: int) -> None:
+    def on_durable(self, node: Node, number: int) -> None:
         assert node.core is not None
         self._carry_out(node, node.core.durable(self.clock(node), number))
 
-    def state_of(self, node: Node) -> Any:
+    def snapshot_state(self, node: Node) -> Any:
         assert node.core is not None
         return node.core.state()
 
     def _send(self, sender: int, peer: int, message: Any) -> None:
         self.found.messages += 1
-        self.pass_on(sender, peer, self.links, lambda: self._arrive(sender, peer, message))
+        self.transmit(sender, peer, self.links, lambda: self._arrive(sender, peer, message))
 
     def _arrive(self, sender: int, peer: int, message: Any) -> None:
         node = self.nodes[peer]
@@ -278,13 +278,13 @@
 
     def _viewer(self, name: str, number: int) -> None:
         """One session after the other, at any front."""
-        if not self.faults:
+        if not self.faults_enabled:
             return
         node, sess = self.nodes[self.rng.randrange(len(self.nodes))], f"{name}.{number}"
         self._take(node, sess, self._plays)
         if self.rng.random() < 0.3:  # a repeat that may cross the answer
-            self.after(0, 300_000, lambda: self._take(node, sess, self._plays))
-        self.after(500_000, 8_000_000, lambda: self._viewer(name, number + 1))
+            self.schedule_after(0, 300_000, lambda: self._take(node, sess, self._plays))
+        self.schedule_after(500_000, 8_000_000, lambda: self._viewer(name, number + 1))
 
     def _take(self, node: Node, sess: str, then: Callable[[str, str], None]) -> None:
         if node.core is None:
@@ -312,12 +312,12 @@
 
     def _plays(self, sess: str, seat: str) -> None:
         viewer, left = sess.partition(".")[0], self.rng.randint(0, 6)
-        self.after(0, 500_000, lambda: self._go_on(viewer, seat, left))
+        self.schedule_after(0, 500_000, lambda: self._go_on(viewer, seat, left))
 
     def _go_on(self, viewer: str, seat: str, left: int) -> None:
         """Renew a few times, then give back or vanish; now and then cheat."""
         claim = self.claims.get(seat)
-        if claim is None or not self.faults:
+        if claim is None or not self.faults_enabled:
             return
         node, chance = self.nodes[claim.front], self.rng.random()
         if left == 0:
@@ -329,8 +329,8 @@
             who = "thief" if 0.9 < chance < 0.95 else viewer
             self._renew(node, claim, who, generation)
             if chance < 0.4:  # the same renewal again, crossing the first
-                self.after(0, 200_000, lambda: self._renew(node, claim, viewer, generation))
-        self.after(300_000, 1_500_000, lambda: self._go_on(viewer, seat, left - 1))
+                self.schedule_after(0, 200_000, lambda: self._renew(node, claim, viewer, generation))
+        self.schedule_after(300_000, 1_500_000, lambda: self._go_on(viewer, seat, left - 1))
 
     def _renew(self, node: Node, claim: Claim, viewer: str, generation: int) -> None:
         if node.core is None:
@@ -370,4 +370,4 @@
     first: int, count: int, make: Callable[..., Seats] = Seats, shape: Callable[[int], Schedule] = drawn
 ) -> tuple[int, str]:
     """Run schedules one after the other until one fails; returns how many ran and what failed."""
-    return first_to_fail(first, count, lambda seed: Simulation(shape(seed), make).run(), ExceededError)
+    return find_failing_seed(first, count, lambda seed: Simulation(shape(seed), make).run(), ExceededError)
--- a/ponddoor/world.py
+++ b/ponddoor/world.py
@@ -1,7 +1,8 @@
-"""One simulated world for the cores: a clock, what is to happen, links that fail, and machines with disks.
+"""Deterministic discrete-event simulation: virtual time, faulty links between nodes, and machines with disks.
 
-From one seed the same course every time. Links lose, double, delay, reorder and cut; machines crash, also in
-the middle of a disk operation. The simulations of seats, Raft and the fleet are built on it."""
+The same seed gives the same run every time. Links lose, duplicate, delay, reorder and cut off messages;
+machines crash, also in the middle of a disk operation. The simulations of seats, Raft, the config service's
+followers and the fleet of fronts are built on it."""
 
 import heapq
 import itertools
@@ -14,183 +15,200 @@
 from ponddoor.store.files import DiskError
 from ponddoor.store.journal import Journal, StoppedError
 
-Plan = TypeVar("Plan")  # a schedule: a dataclass
+Plan = TypeVar("Plan")  # a simulation's schedule: a dataclass of its faults and sizes
 
 
 @dataclass(frozen=True, slots=True)
-class Links:
-    """The chances of a message, and how long it takes at most (us), usually and when it is late."""
+class LinkModel:
+    """What may happen to a message on a link: the probabilities that it is lost, duplicated or late, and the
+    longest delay in microseconds of a message that is in time and of one that is late."""
 
-    loss: float
-    double: float
-    slow: float
-    usual: int
-    late: int
+    loss_ratio: float
+    duplicate_ratio: float
+    late_ratio: float
+    max_usual_delay_us: int
+    max_late_delay_us: int
 
 
 class World:
-    """Virtual time in microseconds. While `faults` are on, links lose, double and delay."""
+    """Virtual time in microseconds and the events that are due. Links lose, duplicate and delay messages only
+    while `faults_enabled` is set."""
 
     def __init__(self, seed: int) -> None:
-        self.rng, self.now, self.faults = Random(seed), 0, True
-        self.events: list[tuple[int, int, Callable[[], None]]] = []
-        self.order = itertools.count()
+        self.rng, self.now, self.faults_enabled = Random(seed), 0, True
+        self._events: list[tuple[int, int, Callable[[], None]]] = []
+        self._sequence = itertools.count()
         self.steps = 0
 
-    def at(self, moment: int, what: Callable[[], None]) -> None:
-        heapq.heappush(self.events, (max(moment, self.now), next(self.order), what))
+    def schedule_at(self, moment: int, callback: Callable[[], None]) -> None:
+        """Run a callback at a time; at once if that time has passed."""
+        heapq.heappush(self._events, (max(moment, self.now), next(self._sequence), callback))
 
-    def after(self, least: int, most: int, what: Callable[[], None]) -> None:
-        self.at(self.now + self.rng.randint(least, most), what)
+    def schedule_after(self, min_delay: int, max_delay: int, callback: Callable[[], None]) -> None:
+        """Run a callback after a random delay from this range, both ends included."""
+        self.schedule_at(self.now + self.rng.randint(min_delay, max_delay), callback)
 
-    def until(self, end: int) -> None:
-        """Let all happen that is due by then; `checked` is called after each step."""
-        while self.events and self.events[0][0] <= end:
-            self.now, _, what = heapq.heappop(self.events)
-            what()
+    def run_until(self, end: int) -> None:
+        """Run all events that are due by `end`; `check_invariants` is called after each."""
+        while self._events and self._events[0][0] <= end:
+            self.now, _, callback = heapq.heappop(self._events)
+            callback()
             self.steps += 1
-            self.checked()
+            self.check_invariants()
         self.now = max(self.now, end)
 
-    def checked(self) -> None:
-        """What has to hold after every step; a simulation raises here."""
+    def check_invariants(self) -> None:
+        """Override to check what must hold after every event; raises where it does not."""
 
-    def apart(self, sender: int, to: int) -> bool:
-        """Whether nothing passes from one to the other now."""
+    def is_partitioned(self, sender: int, receiver: int) -> bool:
+        """Override to say whether messages from sender to receiver are cut off now."""
         return False
 
-    def pass_on(self, sender: int, to: int, links: Links, arrive: Callable[[], None]) -> int:
-        """Send a message; how many copies will arrive."""
+    def transmit(self, sender: int, receiver: int, links: LinkModel, arrive: Callable[[], None]) -> int:
+        """Send a message; `arrive` is called for each copy. Returns how many copies will arrive."""
         copies = 1
-        if self.apart(sender, to):
+        if self.is_partitioned(sender, receiver):
             copies = 0
-        elif self.faults:
-            copies = 0 if self.rng.random() < links.loss else 1 + (self.rng.random() < links.double)
+        elif self.faults_enabled:
+            copies = (
+                0 if self.rng.random() < links.loss_ratio else 1 + (self.rng.random() < links.duplicate_ratio)
+            )
         for _ in range(copies):
-            late = self.faults and self.rng.random() < links.slow
-            self.after(500, links.late if late else links.usual, arrive)
+            late = self.faults_enabled and self.rng.random() < links.late_ratio
+            self.schedule_after(500, links.max_late_delay_us if late else links.max_usual_delay_us, arrive)
         return copies
 
 
 @dataclass(slots=True)
 class Machine:
-    """A machine with a disk, and the journal on it while it is up."""
+    """A machine with a disk, and the journal on it while the machine is up.
+
+    `clock_rate` is how fast its clock runs, relative to virtual time. `life` counts its starts, so that
+    callbacks of a process that has crashed since can be ignored. `last_record_at_start` is the number of the
+    journal's last record when this process started: the record numbers that its core uses count from there."""
 
     number: int
-    rate: float
+    clock_rate: float
     files: FaultyFiles
     journal: Journal | None = None
     life: int = 0
     committing: bool = False
-    first_write: int = 0
+    last_record_at_start: int = 0
 
 
-class Disks(World):
+class WorldWithDisks(World):
     """A world of machines that write journals."""
 
     def __init__(self, seed: int, disk_errors: float) -> None:
         super().__init__(seed)
-        self.disk_errors = disk_errors
+        self.disk_errors = disk_errors  # the probability of one at each commit
 
-    def disk(self) -> FaultyFiles:
+    def new_disk(self) -> FaultyFiles:
         return FaultyFiles(Random(self.rng.getrandbits(32)))
 
-    # What a simulation says of its machines
+    # A simulation overrides these for its own kind of machine
 
-    def down(self, machine: Any) -> None:
-        """It has crashed."""
+    def on_crash(self, machine: Any) -> None:
+        """Called when a machine has crashed, or must stop because its journal failed."""
         raise NotImplementedError
 
-    def durable(self, machine: Any, number: int) -> None:
-        """Its writes up to a number are durable: its core is told, and what that wants is carried out."""
+    def on_durable(self, machine: Any, number: int) -> None:
+        """Called when a machine's records up to a number are durable: tells its core and carries out the
+        effects that the core returns."""
         raise NotImplementedError
 
-    def state_of(self, machine: Any) -> Any:
-        """What a snapshot of its journal holds."""
+    def snapshot_state(self, machine: Any) -> Any:
+        """The state that a snapshot of the machine's journal holds."""
         raise NotImplementedError
 
     # Journals
 
-    def write(self, machine: Any, record: Any) -> None:
-        """A record that becomes durable a little later."""
+    def append_record(self, machine: Any, record: Any) -> None:
+        """Append a record to the journal; it becomes durable with a commit 0.2 to 20 ms later."""
         machine.journal.append(record)
         if not machine.committing:
             machine.committing = True
             life = machine.life
-            self.after(200, 20_000, lambda: self.commit(machine, life))
+            self.schedule_after(200, 20_000, lambda: self.commit_journal(machine, life))
+
+    def commit_journal(self, machine: Any, life: int) -> None:
+        """Make the appended records durable. After a disk error it is tried again, unless the journal failed.
 
-    def commit(self, machine: Any, life: int) -> None:
+        Does nothing if the machine has crashed since the commit was scheduled."""
         if machine.life != life or machine.journal is None:
             return
         machine.committing = False
-        if self.faults and self.rng.random() < self.disk_errors:
+        if self.faults_enabled and self.rng.random() < self.disk_errors:
             machine.files.fail[self.rng.choice(["append", "sync"])] = self.rng.choice(["full", "error"])
         try:
             durable = machine.journal.commit()
         except CrashError:
-            self.down(machine)
+            self.on_crash(machine)
             return
         except (DiskError, StoppedError):
-            if machine.journal.failed:  # the process must not go on as if it had not
-                self.down(machine)
+            if machine.journal.failed:  # the process must not go on as if its records were durable
+                self.on_crash(machine)
                 return
             machine.committing = True
-            self.after(20_000, 60_000, lambda: self.commit(machine, life))
+            self.schedule_after(20_000, 60_000, lambda: self.commit_journal(machine, life))
             return
-        self.durable(machine, durable - machine.first_write)
+        self.on_durable(machine, durable - machine.last_record_at_start)
         if machine.life == life and self.rng.random() < 0.03:
-            self.fold(machine)
+            self.take_snapshot(machine)
 
-    def fold(self, machine: Any) -> None:
-        """The journal is folded into a snapshot, when all of it is durable: what is not must not be in it."""
+    def take_snapshot(self, machine: Any) -> None:
+        """Replace the journal's records by a snapshot, if all of them are durable: the snapshot must not hold
+        state of records that are not."""
         if machine.journal.durable != machine.journal.next_number - 1:
             return
         try:
-            machine.journal.snapshot(self.state_of(machine))
+            machine.journal.snapshot(self.snapshot_state(machine))
         except CrashError:
-            self.down(machine)
+            self.on_crash(machine)
         except DiskError:
             if machine.journal is not None and machine.journal.failed:
-                self.down(machine)
+                self.on_crash(machine)
 
 
-def first_to_fail(
-    first: int, count: int, play: Callable[[int], Any], broken: type[Exception]
+def find_failing_seed(
+    first: int, count: int, run: Callable[[int], Any], failure: type[Exception]
 ) -> tuple[int, str]:
-    """Play seeds one after the other until one breaks; returns how many ran and what broke."""
+    """Run `count` seeds from `first` until one raises `failure`; returns how many ran and the error's text,
+    which is empty if none did."""
     for number in range(count):
         try:
-            play(first + number)
-        except broken as problem:
+            run(first + number)
+        except failure as problem:
             return number + 1, str(problem)
     return count, ""
 
 
-def least_of(
+def minimise_schedule(
     plan: Plan,
     names: tuple[str, ...],
-    least: dict[str, int],
-    play: Callable[[Plan], Any],
-    broken: type[Exception],
+    minimums: dict[str, int],
+    run: Callable[[Plan], Any],
+    failure: type[Exception],
 ) -> Plan:
-    """The least of a schedule that still breaks: each named trouble is left out or halved if it can be."""
+    """A smaller schedule that still raises `failure`: each named field is set to its minimum (0 where none is
+    given) or halved for as long as that keeps the failure."""
 
-    def fails(other: Plan) -> bool:
+    def fails(candidate: Plan) -> bool:
         try:
-            play(other)
-        except broken:
+            run(candidate)
+        except failure:
             return True
         return False
 
-    better = fails(plan)
-    while better:
-        better = False
+    improved = fails(plan)
+    while improved:
+        improved = False
         for name in names:
-            value, low = getattr(plan, name), least.get(name, 0)
+            value, low = getattr(plan, name), minimums.get(name, 0)
             for smaller in (low, value // 2 if isinstance(value, int) else value / 2):
                 if low <= smaller < value and (isinstance(value, int) or smaller == 0 or value > 0.01):
-                    other: Plan = replace(plan, **{name: smaller})  # type: ignore[type-var]
-                    if fails(other):
-                        plan, better = other, True
+                    candidate: Plan = replace(plan, **{name: smaller})  # type: ignore[type-var]
+                    if fails(candidate):
+                        plan, improved = candidate, True
                         break
     return plan
--- a/tests/capacity/test_measure.py
+++ b/tests/capacity/test_measure.py
@@ -57,20 +57,20 @@
 def test_nobody_is_dead_in_the_calm_and_the_dead_are() -> None:
     fleet = know_measure.Knowing(Course(12, 3, loss=0.0))
     fleet.start_all()
-    fleet.until(SECOND)
+    fleet.run_until(SECOND)
     fleet.acquaint()
-    fleet.until(30 * SECOND)
+    fleet.run_until(30 * SECOND)
     assert fleet.most_wrong == 0
     assert by_name(know_measure.play(12, "calm", 3))["know.wrong"] == 0  # with one word in a hundred lost
     fleet.stop(fleet.nodes[5])
-    fleet.until(60 * SECOND)
+    fleet.run_until(60 * SECOND)
     assert all(fleet.dead[node.number] == {5} for node in fleet.up())
 
 
 def test_what_is_not_reached_says_so() -> None:
     fleet = know_measure.Knowing(Course(12, 3))
     fleet.start_all()
-    fleet.until(SECOND)
+    fleet.run_until(SECOND)
     fleet.expect([{1} if number != 1 else set() for number in range(12)], True)
     fleet.wait(2 * SECOND)  # it lives: nobody takes it for dead
     told = fleet.told("dead", "one")
@@ -98,7 +98,7 @@
 def test_sessions_of_viewers_who_leave_are_let_go() -> None:
     fleet = VirtualFleet(Course(4, 9, 0.0, 12, 3.0, 0.9))
     fleet.start_all()
-    fleet.until(40 * SECOND)
+    fleet.run_until(40 * SECOND)
     held = sum(len(node.core.front.sessions) for node in fleet.nodes)
     assert fleet.answered["left"] > 200
     # One in ten stays for a minute; those that leave hold nothing
