--- a/ponddoor/node/board.py
+++ b/ponddoor/node/board.py
@@ -15,21 +15,23 @@
 from ponddoor.front.roster import GapError, ListChange, Roster
 from ponddoor.interface import events as ev
 from ponddoor.node import board_codec
-from ponddoor.node.descriptors import DescriptorReserve, is_local
+from ponddoor.node.descriptors import DescriptorReserve, is_resource_exhaustion
 from ponddoor.node.lines import Lines, UnreadableError
 from ponddoor.node.start import Address, Place
 from ponddoor.web.connecting import connect_within
 from ponddoor.web.timing import read_within
 
 ROWS_A_TURN = 500  # of the list that the engine is fed with in one turn of the loop
-SILENCE = 2.4  # s: the last number comes each second
-CONNECT = 1.0  # s: of the four after which news counts as told, with two tries and the pauses between them
-ANSWER = 0.05  # s after `watch`, in which what it has to tell comes: the protocol's slack
+SILENCE_TIMEOUT_S = 2.4  # s: the last number comes each second
+CONNECT_TIMEOUT_S = (
+    1.0  # s: of the four after which news counts as told, with two tries and the pauses between them
+)
+CATCH_UP_S = 0.05  # s after `watch`, in which what it has to tell comes: the protocol's slack
 log = structlog.get_logger("board")
 
 
 @dataclass(slots=True)
-class Board:
+class DiscoveryClient:
     """Feeds the engine with the list. `learned` is told each change at once, `asked` when
     what the board has to tell to a node that begins has come, or can't be had."""
 
@@ -41,12 +43,12 @@
     schedule: ReconnectSchedule
     reserve: DescriptorReserve
     address: Address = ("", 0)
-    breaks: int = 0
+    disconnects: int = 0
     _following: asyncio.Task[None] | None = None
     _rows: deque[ev.ServerRow] = field(default_factory=deque)  # told, and not yet fed to the engine
     _feeding: bool = False
 
-    def begin(self, place: Place) -> None:
+    def start(self, place: Place) -> None:
         """The list of the start, then what follows."""
         for message in place.known:
             self.roster.take(message)
@@ -55,7 +57,7 @@
         self.apply(lambda now: self.engine.news(now, ev.NewsScope.CACHED, known.rows))
         self._follow_from(place.board, self.schedule.start(clock()))
 
-    def follow(self, address: Address) -> None:
+    def move_to(self, address: Address) -> None:
         """Follow the board at this address from the last number in hand, as all nodes are told to at once."""
         self._follow_from(address, self.schedule.moved(clock()))
 
@@ -70,8 +72,8 @@
             how, why = await self._watch(address)
             self.asked()
             now = clock()
-            due = self.schedule.lost(now, how, int(SILENCE * SECOND) if how is Loss.SILENT else 0)
-            self.breaks += 1
+            due = self.schedule.lost(now, how, int(SILENCE_TIMEOUT_S * SECOND) if how is Loss.SILENT else 0)
+            self.disconnects += 1
             log.info(
                 "board-broke",
                 how=how.value,
@@ -88,23 +90,23 @@
             opened = await self._connect(address)
             reader, writer = await asyncio.open_connection(sock=opened)
         except TimeoutError:
-            return Loss.LATE, f"no connection in {CONNECT:g} s"
+            return Loss.LATE, f"no connection in {CONNECT_TIMEOUT_S:g} s"
         except OSError as problem:
             return Loss.REFUSED, str(problem)
         try:
             writer.write(board_codec.watch(self.roster.version))
-            asyncio.get_running_loop().call_later(ANSWER, self.asked)
-            lines, due = Lines(board_codec.MOST), clock() + int(SILENCE * SECOND)
+            asyncio.get_running_loop().call_later(CATCH_UP_S, self.asked)
+            lines, due = Lines(board_codec.MOST), clock() + int(SILENCE_TIMEOUT_S * SECOND)
             # Only what is whole is a sign: a board that stopped in a line, or drips, tells nothing
             while data := await read_within(max(due - clock(), 0) / SECOND, reader, 65_536):
                 for line in lines.feed(data):
-                    self._take(line)
+                    self._handle_line(line)
                     self.schedule.heard(clock())
-                    due = clock() + int(SILENCE * SECOND)
+                    due = clock() + int(SILENCE_TIMEOUT_S * SECOND)
                     self.asked()
             return Loss.BROKEN, "ended"
         except TimeoutError:
-            return Loss.SILENT, f"nothing in {SILENCE:g} s"
+            return Loss.SILENT, f"nothing in {SILENCE_TIMEOUT_S:g} s"
         except (OSError, GapError, UnreadableError) as problem:
             return Loss.BROKEN, f"{type(problem).__name__} {problem}"
         finally:
@@ -115,14 +117,14 @@
     async def _connect(self, address: Address) -> socket.socket:
         """A connection; where no descriptor is left, by one of those reserved."""
         try:
-            return await connect_within(CONNECT, *address)
+            return await connect_within(CONNECT_TIMEOUT_S, *address)
         except OSError as problem:
-            if not is_local(problem) or not self.reserve.release():
+            if not is_resource_exhaustion(problem) or not self.reserve.release():
                 raise
-        return await connect_within(CONNECT, *address)
+        return await connect_within(CONNECT_TIMEOUT_S, *address)
 
-    def _take(self, line: bytes) -> None:
-        change = self.roster.take(board_codec.read(line))
+    def _handle_line(self, line: bytes) -> None:
+        change = self.roster.take(board_codec.decode_line(line))
         if change is not None:
             self.learned(change)
             # What may no longer be used is heard first
--- a/ponddoor/node/board_codec.py
+++ b/ponddoor/node/board_codec.py
@@ -42,13 +42,13 @@
     notices: list[_Notice]
 
 
-def number_of(server: str) -> int:
+def server_number(server: str) -> int:
     """The number by which all fronts know a server: that in its id, if it has one."""
     named = _SERVER.fullmatch(server)
     return int(named[1], 16) if named else xxhash.xxh32_intdigest(server.encode())
 
 
-def id_of(number: int) -> str:
+def server_id(number: int) -> str:
     """A server as the list names it, in logs; one whose id has no number is named by its hash."""
     return f"s-{number:08x}"
 
@@ -58,7 +58,7 @@
     return b"watch %d\n" % last
 
 
-def read(line: bytes) -> ListMessage:
+def decode_line(line: bytes) -> ListMessage:
     """One line: an event, or the last number alone. Raises UnreadableError."""
     try:
         got = msgspec.json.decode(line, type=_Notice | int)
@@ -67,7 +67,7 @@
     return _message(got) if isinstance(got, _Notice) else ListMessage(LIST, got, [], beat=True)
 
 
-def known(raw: Any) -> list[ListMessage]:
+def decode_initial_list(raw: Any) -> list[ListMessage]:
     """The events of the start. Raises UnreadableError."""
     try:
         return [_message(notice) for notice in msgspec.convert(raw, type=_Known).notices]
@@ -80,7 +80,7 @@
         return ListMessage(LIST, notice.rev, [], beat=True)
     entries = [
         Entry(
-            number_of(m.id),
+            server_number(m.id),
             m.host_port,
             m.locality,
             m.flavor,
--- a/ponddoor/node/connection_refresh.py
+++ b/ponddoor/node/connection_refresh.py
@@ -11,7 +11,7 @@
 from ponddoor.obligations.lease import Lease
 from ponddoor.web.unread import has_unread
 
-CANDIDATE_LIMIT = SECOND  # for a server that says nothing anywhere: what it was asked may be lost
+CANDIDATE_TIMEOUT_US = SECOND  # for a server that says nothing anywhere: what it was asked may be lost
 FINISH_LIMIT = SECOND  # from the end of our side to that of the server's
 MOST_RETIRING = 2
 
@@ -187,7 +187,7 @@
 
     # Time
 
-    def look(self, now: int, in_use: bool) -> None:
+    def tick(self, now: int, in_use: bool) -> None:
         """What time alone brings; `in_use` is whether anything depends on the server."""
         self._look_at_retiring(now)
         if not in_use:
@@ -210,7 +210,7 @@
         """Whether it has proven nothing in its time: less where the server speaks on another connection."""
         heard_at = self.link.lease.proven_at or 0
         speaks_elsewhere = candidate.established_at is not None and heard_at > candidate.established_at
-        return candidate.age(now) > (PROOF_WITHIN if speaks_elsewhere else CANDIDATE_LIMIT)
+        return candidate.age(now) > (PROOF_WITHIN if speaks_elsewhere else CANDIDATE_TIMEOUT_US)
 
     def _look_at_retiring(self, now: int) -> None:
         """End what nothing is out on: a test is answered, or late, within a connect timeout."""
--- a/ponddoor/node/descriptors.py
+++ b/ponddoor/node/descriptors.py
@@ -11,7 +11,7 @@
 PAGE_KB = os.sysconf("SC_PAGE_SIZE") // 1024
 
 
-def is_local(problem: OSError) -> bool:
+def is_resource_exhaustion(problem: OSError) -> bool:
     """Whether this machine had no means, so that nobody else is to blame."""
     return problem.errno in LOCAL_ERRORS
 
@@ -48,7 +48,7 @@
         """Raises OSError where the system does not tell."""
         self._file = os.open("/proc/self/statm", os.O_RDONLY | os.O_CLOEXEC)
 
-    def kilobytes(self) -> int:
+    def resident_kb(self) -> int:
         """kB in memory; 0 where the system does not tell."""
         try:
             return int(os.pread(self._file, 128, 0).split()[1]) * PAGE_KB
--- a/ponddoor/node/process.py
+++ b/ponddoor/node/process.py
@@ -20,13 +20,13 @@
 from ponddoor.front.pump import SECOND, Pump, clock
 from ponddoor.front.reconnect import ReconnectSchedule
 from ponddoor.front.roster import ListChange, Roster
-from ponddoor.node.board import Board
+from ponddoor.node.board import DiscoveryClient
 from ponddoor.node.descriptors import DescriptorReserve, MemoryGauge
 from ponddoor.node.early import EarlySignal
 from ponddoor.node.servers import Servers
 from ponddoor.node.start import Place, StartError, read
 from ponddoor.node.viewers import Viewers
-from ponddoor.node.words import Words
+from ponddoor.node.words import GossipSocket
 from ponddoor.obligations.drain import DrainPhase, DrainSchedule
 from ponddoor.settings.limits import Limits
 from ponddoor.web.timing import within
@@ -65,15 +65,17 @@
         connect = facts.permissions.connect_timeout
         self.servers = Servers(self.engine, apply, groups, connect, facts.me, facts.fronts)
         self.servers.random.seed(facts.seed)
-        self.viewers = Viewers(self.engine, apply, self.servers.attend, groups, 0)
+        self.viewers = Viewers(self.engine, apply, self.servers.expect_sessions, groups, 0)
         self.servers.violations = self.viewers.sessions.violations
         roster = Roster(place.zones, place.kinds, facts.plant.cells, now - time.time_ns() // 1000)
         schedule = ReconnectSchedule(facts.me, facts.fronts, facts.rules.drain_grace, facts.seed)
         self.reserve = DescriptorReserve()
-        self.board = Board(
-            roster, self.engine, apply, self._learned, self.servers.inform, schedule, self.reserve
+        self.board = DiscoveryClient(
+            roster, self.engine, apply, self._learned, self.servers.enable_setups, schedule, self.reserve
+        )
+        self.words = GossipSocket(
+            place, lambda peer, data: apply(lambda at: self.engine.word(at, peer, data))
         )
-        self.words = Words(place, lambda peer, data: apply(lambda at: self.engine.word(at, peer, data)))
         self.acting = Acting()
         self.memory = MemoryGauge()
         self.drain: DrainSchedule | None = None
@@ -81,10 +83,10 @@
         self._most_lag = 0
 
     def _learned(self, change: ListChange) -> None:
-        self.servers.learn(change)
+        self.servers.apply_list_change(change)
         left, part = self.sockets - SPARE_DESCRIPTORS, self.sockets // VIEWERS_SHARE
         self.viewers.most = max(left - len(self.servers.links), part)
-        self.servers.most = max(left - self.viewers.most, part)
+        self.servers.max_connections = max(left - self.viewers.most, part)
 
     def _carry_out(self, effect: Effect) -> None:
         match effect:
@@ -113,7 +115,7 @@
             self.reserve.refill()
         log.info("reloaded", board=board)
         if board != self.board.address:
-            self.board.follow(board)
+            self.board.move_to(board)
 
     def end(self, told_at: int | None = None) -> None:
         """Begin the shutdown, by a schedule that is made once; `told_at` is when the signal came."""
@@ -147,16 +149,16 @@
     async def run(self, path: Path, early: Sequence[EarlySignal] = ()) -> None:
         """Serve until SIGTERM and the end of the drain. Raises OSError where an address can't be had."""
         await self.words.start()
-        self.board.begin(self.place)
+        self.board.start(self.place)
         # The first third of the grace is for the turn in which the list is asked, the second for its answer
         until = 2 * self.place.facts.rules.drain_grace / 3 / SECOND
-        asyncio.get_running_loop().call_later(until, self.servers.inform)
+        asyncio.get_running_loop().call_later(until, self.servers.enable_setups)
         self._follow_signals(path, early)
         await self.viewers.start(*self.place.listen)
         self.viewers.ready = True
         log.debug("facts", facts=self.place.facts, limits=self.place.sockets)
         self.reserve.refill()
-        memory_kb = self.memory.kilobytes()
+        memory_kb = self.memory.resident_kb()
         log.info("node-started", name=self.place.name, me=self.place.facts.me, memory_kb=memory_kb)
         due, say = clock() + LOOK, clock() + STATE_EVERY
         while self.drain is None:
@@ -178,7 +180,7 @@
             await within(max(due - clock(), 0) / SECOND, self._told_to_end.wait())
 
     def _look(self, now: int) -> None:
-        self.servers.look(now, min(IDLE_LIMIT, 2 * self.place.server_idle // 3))
+        self.servers.tick(now, min(IDLE_LIMIT, 2 * self.place.server_idle // 3))
         self.viewers.look(now)
         self.reserve.refill()
 
@@ -208,12 +210,12 @@
             "state", in_hand=self.engine.in_hand, held=self.engine.held, viewers=len(viewers.connections),
             servers=len(servers.links), releases_pending=len(viewers.sessions.pending),
             sessions=viewers.sessions.counts, violations=viewers.sessions.violations.counts,
-            lag_us=self._most_lag, memory_kb=self.memory.kilobytes(),
+            lag_us=self._most_lag, memory_kb=self.memory.resident_kb(),
             faults=counts.faults, answers=counts.answers, setups=counts.setups, stray=counts.stray,
             viewers_seen=viewers.counts, servers_seen=servers.counts,
             session_lines_left_out=viewers.session_log.left_out,
-            leases=servers.leases(clock()), words=self.words.told, words_lost=self.words.lost,
-            board_breaks=self.board.breaks,
+            leases=servers.lease_counts(clock()), words=self.words.sent, words_lost=self.words.lost,
+            board_breaks=self.board.disconnects,
             board_losses=self.board.schedule.losses, board_age_ms=self.board.schedule.age(clock()) // 1000,
         )  # fmt: skip
         self._most_lag = 0
--- a/ponddoor/node/server_codec.py
+++ b/ponddoor/node/server_codec.py
@@ -9,7 +9,7 @@
 from ponddoor.front.effects import Ask
 from ponddoor.interface import events as ev
 from ponddoor.node.lines import UnreadableError
-from ponddoor.platform.facts import report_word
+from ponddoor.platform.facts import report_field_name
 
 MOST = 16_384  # bytes of a line
 _SESS = re.compile("[0-9a-f]{16}")
@@ -79,7 +79,7 @@
     d: str | None = None
 
 
-def read(line: bytes) -> Message | None:
+def decode_line(line: bytes) -> Message | None:
     """What a line says; None for what is of no interest. Raises UnreadableError."""
     try:
         got = msgspec.json.decode(line, type=_Line)
@@ -131,7 +131,7 @@
         except ValueError:
             continue
         if math.isfinite(value) and value >= 0:
-            report[report_word(name)] = value
+            report[report_field_name(name)] = value
     return report
 
 
--- a/ponddoor/node/server_link.py
+++ b/ponddoor/node/server_link.py
@@ -18,9 +18,9 @@
 from ponddoor.front.roster import Entry
 from ponddoor.interface import events as ev
 from ponddoor.node import server_codec as codec
-from ponddoor.node.board_codec import id_of
+from ponddoor.node.board_codec import server_id
 from ponddoor.node.connection_refresh import ConnectionRefresh, Connections
-from ponddoor.node.descriptors import is_local
+from ponddoor.node.descriptors import is_resource_exhaustion
 from ponddoor.node.server_connection import ServerConnection
 from ponddoor.node.server_messages import Item, MessageOwner, ServerMessages
 from ponddoor.obligations.completeness import Completeness
@@ -28,8 +28,10 @@
 from ponddoor.web.connecting import connect_within
 from ponddoor.web.unread import has_unread
 
-ADDRESS_REUSED_AFTER = SECOND  # a server told gone that is answered for so long: a new one has its address
-PARTIAL_LINE_LIMIT = SECOND // 4  # a line that takes longer than this to end does not end
+ADDRESS_REUSE_TIMEOUT_US = (
+    SECOND  # a server told gone that is answered for so long: a new one has its address
+)
+PARTIAL_LINE_TIMEOUT_US = SECOND // 4  # a line that takes longer than this to end does not end
 UNREAD_GRACE = SECOND // 4  # what has come as a lease ends is read first, for so long
 WAIT_WITH_SESSIONS = SECOND  # between two connects to a server where sessions stand, at most
 MOST_WAITING = 1000  # messages that wait for one connection
@@ -41,10 +43,10 @@
     """What a link needs of the shell that owns all of them."""
 
     random: Random
-    informed: bool
-    connected: "dict[ServerLink, None]"
+    setups_enabled: bool
+    open_links: "dict[ServerLink, None]"
 
-    def used(self, link: "ServerLink") -> None: ...
+    def mark_used(self, link: "ServerLink") -> None: ...
     def make_room(self) -> bool: ...
     def turn(self) -> int: ...
     def lose(self, link: "ServerLink", why: str, standing_since: int | None = None) -> None: ...
@@ -58,7 +60,7 @@
     number: int
     entry: Entry
     connection: ServerConnection | None = None
-    connecting: asyncio.Task[None] | None = None
+    connect_task: asyncio.Task[None] | None = None
     waiting: list[Item] = field(default_factory=list)
     pending_releases: dict[str, None] = field(default_factory=dict)  # for the next connection
     used_at: int = 0
@@ -78,7 +80,7 @@
     def say(self, item: Item) -> None:
         """Write a message, or keep it until the connection is there; a SETUP, until all is read."""
         self.used_at = clock()
-        self.servers.used(self)
+        self.servers.mark_used(self)
         if self.connection is not None and not isinstance(item, fx.SendSetup):
             self.messages.write(self.connection, item)
         elif len(self.waiting) < MOST_WAITING:
@@ -106,7 +108,7 @@
     @property
     def active(self) -> bool:
         """Whether time alone can bring something here."""
-        connects = self.connection is not None or self.connecting is not None or self.later is not None
+        connects = self.connection is not None or self.connect_task is not None or self.later is not None
         return bool(connects or self.pending_releases or self.refresh.retiring or self.needed)
 
     def send_waiting(self) -> None:
@@ -117,7 +119,7 @@
     def _send_once_read(self, item: Item) -> None:
         """It goes out once all that has come by now is read: its viewer may have left, or its server drain,
         with the message that says so unread."""
-        if self.servers.informed:
+        if self.servers.setups_enabled:
             once_read(lambda: self._send(item))
 
     def _send(self, item: Item) -> None:
@@ -130,7 +132,7 @@
 
     def connect(self) -> None:
         """Connect now or, after failures, once the backoff allows it: what waits is answered by then."""
-        if self.connection is not None or self.connecting is not None:
+        if self.connection is not None or self.connect_task is not None:
             return
         if self._held_back(clock()):
             self.servers.count("connects-held-back")
@@ -143,9 +145,9 @@
             self.servers.count("no-room")
             self._fail_waiting(ev.Result.MOOT)
         else:
-            self.connecting = asyncio.create_task(self._connect())
-            self.servers.connected[self] = None
-            self.servers.used(self)
+            self.connect_task = asyncio.create_task(self._connect())
+            self.servers.open_links[self] = None
+            self.servers.mark_used(self)
 
     def _held_back(self, now: int) -> int:
         """How long the next connect has to wait: where sessions stand they must be heard of in time."""
@@ -156,8 +158,8 @@
     def connect_in_turn(self) -> None:
         """Connect after this front's part of a connect timeout: fronts that lost a server together do not
         connect to it together. No SETUP waits for it."""
-        if self.connection is None and self.connecting is None and self.later is None:
-            self.servers.used(self)
+        if self.connection is None and self.connect_task is None and self.later is None:
+            self.servers.mark_used(self)
             wait = max(self.servers.turn(), self._held_back(clock()) + 1) / SECOND
             self.later = asyncio.get_running_loop().call_later(wait, self._connect_later)
 
@@ -177,10 +179,10 @@
             opened = await connect_within(limit, host, int(port))
             await asyncio.get_running_loop().create_connection(lambda: connection, sock=opened)
         except (OSError, TimeoutError) as problem:
-            self.connecting = None
+            self.connect_task = None
             self._not_connected(connection, problem)
             return
-        self.connecting = None
+        self.connect_task = None
         if connection.transport is None or connection.transport.is_closing():
             self._not_connected(connection, ConnectionResetError())
         elif self.connection is None:
@@ -192,15 +194,15 @@
         if self.connection is not None:
             self.refresh.failed(connection, f"no connection: {problem!r}")
             return
-        self.servers.connected.pop(self, None)
-        if isinstance(problem, OSError) and is_local(problem):
+        self.servers.open_links.pop(self, None)
+        if isinstance(problem, OSError) and is_resource_exhaustion(problem):
             self._no_descriptor(problem)
         else:
             self._unreached(problem)
 
     def _connected(self, connection: ServerConnection) -> None:
         self.connection = connection
-        self.servers.connected[self] = None
+        self.servers.open_links[self] = None
         self.servers.count("connected")
         self.log_connection("connection-opened", connection)
         unproven = self.lease.connected(clock()) or self.refresh.completeness.doubted_from is not None
@@ -220,16 +222,16 @@
 
     def log_connection(self, event: str, connection: ServerConnection, **more: object) -> None:
         """A line about a connection."""
-        log.info(event, server=id_of(self.number), connection=connection.number, **more)
+        log.info(event, server=server_id(self.number), connection=connection.number, **more)
 
     def open_another(self) -> bool:
         """Open a connection beside the one in use. False where there is none, or no room for another."""
-        if self.connection is None or self.connecting is not None or self.entry.state == "gone":
+        if self.connection is None or self.connect_task is not None or self.entry.state == "gone":
             return False
         if not self.servers.make_room():
             self.servers.count("no-room")
             return False
-        self.connecting = asyncio.create_task(self._connect())
+        self.connect_task = asyncio.create_task(self._connect())
         return True
 
     def use(self, connection: ServerConnection) -> ServerConnection | None:
@@ -259,7 +261,7 @@
     def _no_descriptor(self, problem: OSError) -> None:
         """The machine gives us no connection: nothing ran, and the server is not to blame."""
         self.servers.count("no-descriptor")
-        log.warning("no-descriptor", server=id_of(self.number), why=str(problem))
+        log.warning("no-descriptor", server=server_id(self.number), why=str(problem))
         self._fail_waiting(ev.Result.MOOT)
 
     def _unreached(self, problem: Exception) -> None:
@@ -289,7 +291,7 @@
 
     def keep_release(self, sess: str) -> None:
         """A release that can't be sent now goes out first on the next connection."""
-        self.servers.used(self)
+        self.servers.mark_used(self)
         if len(self.pending_releases) < MOST_PENDING_RELEASES:
             self.pending_releases[sess] = None
         else:
@@ -374,7 +376,7 @@
             return
         now = clock()
         self.connection = None
-        self.servers.connected.pop(self, None)
+        self.servers.open_links.pop(self, None)
         self.servers.count("connection-ended")
         self.lease.note(now, Sign.BROKEN, why[:80])
         tests = self.messages.take_tests()
@@ -406,7 +408,7 @@
         for sess, out in setups.items():
             self.servers.answered(sess, out.attempt, self.number, ev.Result.RESET, {})
 
-    def look(self, now: int, idle: int) -> None:
+    def tick(self, now: int, idle: int) -> None:
         """What time alone brings: a lease that ends, partial lines, idle connections, connections wanted."""
         connection, plays = self.connection, self.servers.engine.plays_at(self.number)
         if connection is None and (plays or self.pending_releases):
@@ -414,10 +416,10 @@
         if connection is not None and plays and self.entry.state == "gone":
             # A new server that has taken the address answers for the one that has gone
             self.gone_since = self.gone_since or now
-            if now - self.gone_since > ADDRESS_REUSED_AFTER:
+            if now - self.gone_since > ADDRESS_REUSE_TIMEOUT_US:
                 self.connection_failed(connection, "gone, and something answers there")
                 return
-        self.refresh.look(now, plays or self.has_setups)
+        self.refresh.tick(now, plays or self.has_setups)
         self._look_at_lease(now, plays)
         if connection is not None and self.connection is connection and not has_unread(connection.transport):
             self._look_at_connection(connection, now, plays, idle)
@@ -439,7 +441,7 @@
             self.give_up(now, "silent")
 
     def _look_at_connection(self, connection: ServerConnection, now: int, plays: bool, idle: int) -> None:
-        if connection.partial_since is not None and now - connection.partial_since > PARTIAL_LINE_LIMIT:
+        if connection.partial_since is not None and now - connection.partial_since > PARTIAL_LINE_TIMEOUT_US:
             self.servers.count("partial-line")
             self.lease.note(now, Sign.NO_MESSAGE, "partial line")
             self.connection_failed(connection, "partial line")
@@ -467,8 +469,8 @@
         connection, self.connection = self.connection, None
         if connection is not None and connection.transport is not None:
             connection.transport.close()
-        if self.connecting is not None:
-            self.connecting.cancel()
+        if self.connect_task is not None:
+            self.connect_task.cancel()
         self.refresh.close()
-        self.servers.connected.pop(self, None)
+        self.servers.open_links.pop(self, None)
         self.messages.take_tests()
--- a/ponddoor/node/server_messages.py
+++ b/ponddoor/node/server_messages.py
@@ -12,7 +12,7 @@
 from ponddoor.front.roster import Entry
 from ponddoor.interface import events as ev
 from ponddoor.node import server_codec as codec
-from ponddoor.node.board_codec import id_of
+from ponddoor.node.board_codec import server_id
 from ponddoor.node.connection_refresh import ConnectionRefresh
 from ponddoor.node.server_connection import ServerConnection, SetupOut
 
@@ -68,7 +68,7 @@
 
     def write(self, connection: ServerConnection, item: Item) -> None:
         """Write what the decisions want; a server that reads nothing loses the connection."""
-        log.debug("to-server", server=id_of(self.link.number), item=item)
+        log.debug("to-server", server=server_id(self.link.number), item=item)
         match item:
             case fx.SendSetup():
                 self._set_up(connection, item)
@@ -138,9 +138,9 @@
         """A line has come. What it says of sessions we do not know, or twice, is of no interest.
 
         Raises UnreadableError for one that is no message."""
-        said = codec.read(line)
+        said = codec.decode_line(line)
         self.link.heard(clock(), connection)
-        log.debug("server-says", server=id_of(self.link.number), said=said)
+        log.debug("server-says", server=server_id(self.link.number), said=said)
         match said:
             case codec.Stands(sess, passed):
                 self._stands(connection, sess, passed)
--- a/ponddoor/node/servers.py
+++ b/ponddoor/node/servers.py
@@ -15,17 +15,19 @@
 from ponddoor.front.pump import SECOND, Apply, clock
 from ponddoor.front.roster import ListChange
 from ponddoor.interface import events as ev
-from ponddoor.node.board_codec import id_of
+from ponddoor.node.board_codec import server_id
 from ponddoor.node.server_connection import ServerConnection
 from ponddoor.node.server_link import MOST_PENDING_RELEASES, ServerLink
 from ponddoor.node.server_messages import Item
 from ponddoor.obligations.violations import Invariant, Violations
 
-UNLISTED_FOR = 13 * SECOND // 2  # a session is handed over at a server that the list may name so much later
+UNLISTED_TIMEOUT_US = (
+    13 * SECOND // 2
+)  # a session is handed over at a server that the list may name so much later
 UNLISTED_SERVERS = 4096
-NEEDED_OVER_LIMIT = 32  # connections over the limit where every one is needed
+MAX_NEEDED_OVER_LIMIT = 32  # connections over the limit where every one is needed
 GONE_SERVERS = 16_384  # whose numbers are kept
-LOST_A_TURN = 100  # sessions of lost servers that end in one turn of the loop
+MAX_SESSIONS_ENDED_PER_TURN = 100  # sessions of lost servers that end in one turn of the loop
 MOST_IDS_LOGGED = 20  # sessions that one line of the log names
 OVERDUE_AFTER = SECOND // 2  # past its end a lease is carried out by the check, which is a fault of ours
 FLUSH_CHECK_S = 0.01  # between two looks at what was written last
@@ -45,10 +47,12 @@
     links: dict[int, ServerLink] = field(default_factory=dict)
     counts: dict[str, int] = field(default_factory=dict)
     random: Random = field(default_factory=Random)  # of the backoff's jitter
-    most: int = 1 << 30  # connections at once
-    informed: bool = False
+    max_connections: int = 1 << 30  # connections at once
+    setups_enabled: bool = False
     violations: Violations = field(default_factory=Violations)
-    connected: dict[ServerLink, None] = field(default_factory=dict)  # or connecting, the longest unused first
+    open_links: dict[ServerLink, None] = field(
+        default_factory=dict
+    )  # or connecting, the longest unused first
     beside: dict[ServerConnection, None] = field(default_factory=dict)  # further connections of links
     _watched: dict[ServerLink, None] = field(default_factory=dict)  # that a look may find something at
     _unlisted: dict[int, int] = field(default_factory=dict)  # servers of hand-overs, since when
@@ -61,12 +65,12 @@
     def count(self, what: str) -> None:
         self.counts[what] = self.counts.get(what, 0) + 1
 
-    def inform(self) -> None:
+    def enable_setups(self) -> None:
         """The list has told what came since the list of the start, or can't: SETUPs may go out.
 
         Before that they wait: a drain that the list has counts as told from the start of this process."""
-        if not self.informed:
-            self.informed = True
+        if not self.setups_enabled:
+            self.setups_enabled = True
             for link in list(self._watched):
                 link.send_waiting()
 
@@ -75,25 +79,25 @@
         """Whether something is still to be written."""
         return any(link.unsent for link in self._watched)
 
-    def used(self, link: ServerLink) -> None:
+    def mark_used(self, link: ServerLink) -> None:
         """A link is used, or waits for something: it is looked at from now on."""
         self._watched[link] = None
-        if link in self.connected:
-            del self.connected[link]
-            self.connected[link] = None
+        if link in self.open_links:
+            del self.open_links[link]
+            self.open_links[link] = None
 
     def make_room(self) -> bool:
         """Whether one more may be opened. Where all connections that the descriptors allow are open, the one
         that was of no use for longest is closed; where every one is needed, a few more are allowed."""
-        if len(self.connected) + len(self.beside) < self.most:
+        if len(self.open_links) + len(self.beside) < self.max_connections:
             return True
-        free = (link for link in self.connected if link.connection is not None and not link.needed)
+        free = (link for link in self.open_links if link.connection is not None and not link.needed)
         oldest = next(free, None)
         if oldest is not None:
             assert oldest.connection is not None
             oldest.close_connection(oldest.connection, "made room")
-        count = len(self.connected) + len(self.beside)
-        return oldest is not None or count < self.most + NEEDED_OVER_LIMIT
+        count = len(self.open_links) + len(self.beside)
+        return oldest is not None or count < self.max_connections + MAX_NEEDED_OVER_LIMIT
 
     def turn(self) -> int:
         """How long this front waits before it connects where many do: its part of a connect timeout (us)."""
@@ -103,7 +107,7 @@
         """An id for a message that belongs to no session."""
         return f"{next(self._ids):016x}"
 
-    def learn(self, change: ListChange) -> None:
+    def apply_list_change(self, change: ListChange) -> None:
         """The list has changed."""
         for entry in change.entries:
             number = entry.server
@@ -140,7 +144,7 @@
         """The link is of no use any more: no look finds it."""
         self._fail(link)
         self._watched.pop(link, None)
-        self.connected.pop(link, None)
+        self.open_links.pop(link, None)
 
     def _fail(self, link: ServerLink) -> None:
         """Nothing goes out on this link any more. What waited is answered in the next turn: the decisions
@@ -205,7 +209,7 @@
             return
         log.info(
             "sessions-lost",
-            server=id_of(link.number),
+            server=server_id(link.number),
             why=why,
             sessions=len(held),
             ids=[one.sess for one in held[:MOST_IDS_LOGGED]],
@@ -217,7 +221,7 @@
             asyncio.get_running_loop().call_soon(self._lose_some)
 
     def _lose_some(self) -> None:
-        left = LOST_A_TURN
+        left = MAX_SESSIONS_ENDED_PER_TURN
         while self._losing and left:
             number, sessions = next(iter(self._losing.items()))
             while sessions and left:
@@ -233,7 +237,7 @@
     def _lose_session(self, sess: str, attempt: int) -> None:
         self.apply(lambda now: self.engine.stream_ended(now, sess, attempt, "lost"))
 
-    def attend(self, server: int) -> None:
+    def expect_sessions(self, server: int) -> None:
         """Sessions play there from before our start: what the server says of them needs a connection.
 
         A server that the list does not name yet is waited for; one that it has removed is gone."""
@@ -273,15 +277,15 @@
 
     def _look_unlisted(self, now: int) -> None:
         for server, since in list(self._unlisted.items()):
-            if now - since > UNLISTED_FOR:
+            if now - since > UNLISTED_TIMEOUT_US:
                 del self._unlisted[server]
                 self._unlisted_releases.pop(server, None)
                 self._lose_sessions(server)
 
-    def look(self, now: int, idle: int) -> None:
+    def tick(self, now: int, idle: int) -> None:
         """Called every quarter of a second or so."""
         for link in list(self._watched):
-            link.look(now, idle)
+            link.tick(now, idle)
             self._let_go(link)
             if not link.active:
                 self._watched.pop(link, None)
@@ -302,9 +306,9 @@
                 link.give_up(now, "overdue")
 
     def _overdue(self, number: int, why: str, signs: tuple[str, ...]) -> None:
-        self.violations.add(Invariant.LEASE_IN_TIME, id_of(number), why, signs)
+        self.violations.add(Invariant.LEASE_IN_TIME, server_id(number), why, signs)
 
-    def leases(self, now: int) -> dict[str, int]:
+    def lease_counts(self, now: int) -> dict[str, int]:
         """Servers with sessions by the state of their lease, and the oldest proof of any (ms)."""
         told, oldest = dict[str, int](), 0
         for number in self.engine.servers_in_use():
@@ -317,5 +321,5 @@
         """End every connection once what was written to it has left, `until` at the latest."""
         while any(link.unsent for link in self._watched if link.connection) and clock() < until:
             await asyncio.sleep(FLUSH_CHECK_S)
-        for link in {**self._watched, **self.connected}:
+        for link in {**self._watched, **self.open_links}:
             link.close()
--- a/ponddoor/node/session_log.py
+++ b/ponddoor/node/session_log.py
@@ -7,7 +7,7 @@
 import structlog
 
 from ponddoor.front.pump import SECOND, clock
-from ponddoor.node.board_codec import id_of
+from ponddoor.node.board_codec import server_id
 
 MOST_LINES_A_SECOND = 100
 log = structlog.get_logger("sessions")
@@ -23,7 +23,7 @@
 
     def stands(self, session: str, server: int, connection: int) -> None:
         """A set-up was answered: the session stands. `connection` is the viewer's."""
-        self._write("session-stands", session, server=id_of(server), viewer_connection=connection)
+        self._write("session-stands", session, server=server_id(server), viewer_connection=connection)
 
     def over(self, session: str, why: str) -> None:
         """A session that stood is over."""
--- a/ponddoor/node/start.py
+++ b/ponddoor/node/start.py
@@ -10,7 +10,7 @@
 from ponddoor.interface.facts import SiteFacts
 from ponddoor.node import board_codec
 from ponddoor.node.lines import UnreadableError
-from ponddoor.platform.facts import MalformedError, list_names, micros, site_facts
+from ponddoor.platform.facts import MalformedError, ms_to_us, site_facts, zone_and_kind_names
 
 Address = tuple[str, int]
 _NAME, _LISTEN, _FILE = "BALANCER_NAME", "BALANCER_LISTEN", "BALANCER_CONFIG"
@@ -82,9 +82,9 @@
     try:
         raw = msgspec.json.decode(path.read_bytes(), type=_File)
         facts, _ = site_facts(int(raw.seed, 16), bytes(raw.settings))
-        zones, kinds = list_names(bytes(raw.settings))
-        idle = micros(msgspec.json.decode(raw.settings, type=_Settings).permissions.idle_ms)
-        known = tuple(board_codec.known(msgspec.json.decode(raw.known)))
+        zones, kinds = zone_and_kind_names(bytes(raw.settings))
+        idle = ms_to_us(msgspec.json.decode(raw.settings, type=_Settings).permissions.idle_ms)
+        known = tuple(board_codec.decode_initial_list(msgspec.json.decode(raw.known)))
         peers = tuple(address(text, "peers") for text in raw.peers)
         if raw.limits.sockets < 64:
             raise StartError(f"sockets is {raw.limits.sockets}, 64 at least are needed")
--- a/ponddoor/node/viewers.py
+++ b/ponddoor/node/viewers.py
@@ -13,7 +13,7 @@
 from ponddoor.front.engine import Engine
 from ponddoor.front.pump import SECOND, Apply, clock, once_read
 from ponddoor.node import viewer_codec as codec
-from ponddoor.node.board_codec import number_of
+from ponddoor.node.board_codec import server_number
 from ponddoor.node.listener import Listener
 from ponddoor.node.session_log import SessionLog
 from ponddoor.node.viewer_connection import (
@@ -228,7 +228,7 @@
         )
         connection.proven = True
         if asked.at:
-            self._handed_over(connection, asked.sess, ask, number_of(asked.at))
+            self._handed_over(connection, asked.sess, ask, server_number(asked.at))
         elif self._known(asked.sess):
             self._again(connection, asked.sess)
         else:
--- a/ponddoor/node/words.py
+++ b/ponddoor/node/words.py
@@ -14,12 +14,12 @@
 
 
 @dataclass(slots=True)
-class Words(asyncio.DatagramProtocol):
+class GossipSocket(asyncio.DatagramProtocol):
     """Sends and receives words. What can't be sent, or comes from elsewhere, is lost and counted."""
 
     place: Place
     heard: Callable[[int, bytes], None]
-    told: int = 0
+    sent: int = 0
     lost: int = 0
     _transport: asyncio.DatagramTransport | None = None
     _numbers: dict[tuple[str, int], int] = field(default_factory=dict)  # of the fronts, by their addresses
@@ -52,7 +52,7 @@
             self.lost += 1
             return
         self._transport.sendto(payload, to)
-        self.told += 1
+        self.sent += 1
 
     def _of(self, peer: int) -> tuple[str, int] | None:
         within = 0 <= peer < len(self.place.peers) and peer != self.place.facts.me
--- a/ponddoor/platform/facts.py
+++ b/ponddoor/platform/facts.py
@@ -25,14 +25,14 @@
 }
 
 
-def micros(ms: float) -> int:
+def ms_to_us(ms: float) -> int:
     """The wire's milliseconds as whole microseconds."""
     if not math.isfinite(ms):
         raise MalformedError(f"a time of {ms}")
     return round(ms * 1000)
 
 
-def report_word(name: str) -> str:
+def report_field_name(name: str) -> str:
     """What we call a value of a load report."""
     return _FIELDS.get(name, name)
 
@@ -45,7 +45,7 @@
         raise MalformedError(f"unusable settings: {problem!r}") from problem
 
 
-def list_names(text: bytes) -> tuple[tuple[str, ...], tuple[str, ...]]:
+def zone_and_kind_names(text: bytes) -> tuple[tuple[str, ...], tuple[str, ...]]:
     """The zones and the kinds of server by their numbers. Raises MalformedError."""
     try:
         raw = json.loads(text)
@@ -74,12 +74,12 @@
     groups = tuple(
         fx.ServiceGroup(
             name=lane["name"],
-            start_target=micros(lane["aim"]),
-            setup_timeout=micros(lane["deadline"]),
+            start_target=ms_to_us(lane["aim"]),
+            setup_timeout=ms_to_us(lane["deadline"]),
             utility=lane["value"],
             effect=_effect(lane["semantics"]),
             scope=fx.Scope(lane.get("group", "all")),
-            memory=micros(lane.get("memorySpan", 0)),
+            memory=ms_to_us(lane.get("memorySpan", 0)),
             floor=fam["floorByClass"][i],
             top=fam["classTop"][i],
             seats=fam["classSeats"][i],
@@ -90,7 +90,7 @@
     )
     for group in groups:
         _possible(group, len(fam["rungKb"]))
-    names = tuple(map(report_word, raw["reporting"]["fields"]))
+    names = tuple(map(report_field_name, raw["reporting"]["fields"]))
     spare = safety.get("spareAttempts")
     share = safety.get("resendRatio")
     limited = bool(safety.get("ratioSpan")) and (spare is not None or share is not None)
@@ -121,20 +121,20 @@
             uplink_kb=fam["rackKb"],
             streams=tuple(fam["kindStreams"]),
             refuse_at=fam.get("guard", 0.0),
-            note_delay=micros(fam.get("toldLate", 0)),
-            note_every=micros(fam.get("tell", 0)),
+            note_delay=ms_to_us(fam.get("toldLate", 0)),
+            note_every=ms_to_us(fam.get("tell", 0)),
         ),
         rules=fx.Rules(
-            cold=micros(safety["cold"]),
+            cold=ms_to_us(safety["cold"]),
             cold_from=safety["coldFrom"],
-            drain_grace=micros(safety["drainGrace"]),
+            drain_grace=ms_to_us(safety["drainGrace"]),
             fall_multiple=safety["fallMultiple"],
-            fall=micros(safety["fall"]),
-            answer_grace=micros(safety["graceToAnswer"]),
-            ask_every=micros(safety.get("askEvery", 0)),
+            fall=ms_to_us(safety["fall"]),
+            answer_grace=ms_to_us(safety["graceToAnswer"]),
+            ask_every=ms_to_us(safety.get("askEvery", 0)),
             spare_setups=int(spare or 0) if limited else None,
             resend_ratio=share or 0.0,
-            resend_span=micros(safety.get("ratioSpan", 0)),
+            resend_span=ms_to_us(safety.get("ratioSpan", 0)),
         ),
         permissions=fx.Permissions(
             probes=allow["probes"],
@@ -142,8 +142,8 @@
             cancel=allow["cancelling"],
             max_attempts=allow["maxAttempts"],
             come_back=allow["retryAfter"],
-            max_come_back=micros(allow["maxRetryAfter"]),
-            connect_timeout=micros(allow["connectTimeout"]),
+            max_come_back=ms_to_us(allow["maxRetryAfter"]),
+            connect_timeout=ms_to_us(allow["connectTimeout"]),
         ),
         prices=fx.Prices(
             cross_zone=prices["crossZone"],
--- a/ponddoor/simhost/codec.py
+++ b/ponddoor/simhost/codec.py
@@ -9,7 +9,7 @@
 from ponddoor.interface import actions as act
 from ponddoor.interface import events as ev
 from ponddoor.interface import facts as fx
-from ponddoor.platform.facts import MalformedError, micros, site_facts
+from ponddoor.platform.facts import MalformedError, ms_to_us, site_facts
 
 
 @dataclass(frozen=True, slots=True)
@@ -108,7 +108,7 @@
             if state not in (0, 1, 2):
                 raise MalformedError(f"server state {state}")
             rows.append(
-                ev.ServerRow(server, zone, kind, cell, ev.ServerState(state), weight, micros(started))
+                ev.ServerRow(server, zone, kind, cell, ev.ServerState(state), weight, ms_to_us(started))
             )
         self._lists[number] = tuple(rows)
 
@@ -142,7 +142,7 @@
                 return ev.Note(req_id, ev.NoteKind(kind), value, server)
             case 3:
                 req_id, lag, attempt, server = fields.take(_STARTED)
-                return ev.Started(req_id, attempt, server, micros(lag))
+                return ev.Started(req_id, attempt, server, ms_to_us(lag))
             case 9:
                 req_id, server, result, attempt, final, lag = fields.take(_RETURNED)
                 return ev.Ended(
@@ -151,12 +151,12 @@
                     server,
                     _result(result),
                     bool(final),
-                    micros(lag),
+                    ms_to_us(lag),
                     self._report(front, fields),
                 )
             case 2:
                 server, lag, result = fields.take(_STATUS)
-                return ev.Probed(server, micros(lag), _result(result), self._report(front, fields))
+                return ev.Probed(server, ms_to_us(lag), _result(result), self._report(front, fields))
             case 7:
                 return ev.ViewerLeft(fields.take(_U32)[0])
             case 1:
@@ -189,8 +189,8 @@
         tenant,
         key,
         title,
-        micros(left),
-        micros(hint) if bits & _HINT else None,
+        ms_to_us(left),
+        ms_to_us(hint) if bits & _HINT else None,
         int(home),
         int(span),
         int(top),
--- a/ponddoor/simhost/host.py
+++ b/ponddoor/simhost/host.py
@@ -5,7 +5,7 @@
 
 from ponddoor.decide import Front
 from ponddoor.interface.events import Event
-from ponddoor.platform.facts import MalformedError, micros
+from ponddoor.platform.facts import MalformedError, ms_to_us
 from ponddoor.runtime.driver import Driver
 from ponddoor.simhost import codec
 
@@ -23,7 +23,7 @@
         body = source.read(size)
         if len(body) < size:
             raise MalformedError(f"a batch of {size} bytes ends after {len(body)}")
-        now, replies = micros(clock), []
+        now, replies = ms_to_us(clock), []
         for front, event in reader.batch(body, count):
             replies.append(_handle(drivers, front, now, event))
         sink.write(codec.frame(b"".join(replies)))
--- a/tests/node/conftest.py
+++ b/tests/node/conftest.py
@@ -30,13 +30,13 @@
 PATIENCE = 5.0
 SOON = 50_000  # us
 TIMES = {
-    "silence": (node_board, "SILENCE"),
+    "silence": (node_board, "SILENCE_TIMEOUT_S"),
     "gone": (lease, "SILENT_LIMIT"),
     "quiet": (lease, "SIGN_OF_LIFE_AFTER"),
-    "taken": (node_server_link, "ADDRESS_REUSED_AFTER"),
+    "taken": (node_server_link, "ADDRESS_REUSE_TIMEOUT_US"),
     "silent": (node_viewers, "SILENT_LIMIT"),
     "half": (node_viewers, "PARTIAL_MESSAGE_LIMIT"),
-    "half_a_line": (node_server_link, "PARTIAL_LINE_LIMIT"),
+    "half_a_line": (node_server_link, "PARTIAL_LINE_TIMEOUT_US"),
     "last": (drain, "FORWARD_FOR"),
     "look": (node_process, "LOOK"),
     "spare": (node_process, "SPARE_DESCRIPTORS"),
--- a/tests/node/test_codecs.py
+++ b/tests/node/test_codecs.py
@@ -73,7 +73,7 @@
         found += lines.feed(piece)
     assert found == whole == data.split(b"\n")[:-1]
     for line in whole:
-        for read in (server_codec.read, board_codec.read):
+        for read in (server_codec.decode_line, board_codec.decode_line):
             with contextlib.suppress(UnreadableError):
                 read(line)
 
@@ -97,11 +97,11 @@
         2,
         "a\r\n\u00e9",
     )
-    assert board_codec.number_of(got.at) == 0x00C41F7A
+    assert board_codec.server_number(got.at) == 0x00C41F7A
 
 
 def test_an_event_of_the_board() -> None:
     pool = {"revision": 7, "complete": False, "members": [{"id": "s-00c41f7a", "phase": "terminated"}]}
-    got = board_codec.read(json.dumps({"rev": 41, "pool": pool}).encode())
+    got = board_codec.decode_line(json.dumps({"rev": 41, "pool": pool}).encode())
     assert (got.version, got.since, got.servers[0].state) == (41, 40, "gone")
-    assert board_codec.read(b"41").beat and board_codec.read(b'{"rev":41}').beat
+    assert board_codec.decode_line(b"41").beat and board_codec.decode_line(b'{"rev":41}').beat
--- a/tests/node/test_crossings.py
+++ b/tests/node/test_crossings.py
@@ -114,7 +114,7 @@
     if given:
         world.given(*given)
     await world.begin()
-    while not world.node.servers.informed:
+    while not world.node.servers.setups_enabled:
         await asyncio.sleep(0)
 
 
@@ -228,7 +228,7 @@
     async def course(world: World) -> None:
         world.facts |= {"balancers": 200, "me": 129}
         world.facts["reporting"]["how"] = "on_probe"
-        before(world.patch, node_words.Words, "send", lambda _, peer, payload: said.append(payload[0]))
+        before(world.patch, node_words.GossipSocket, "send", lambda _, peer, payload: said.append(payload[0]))
         await begun(world, "mayTell=true", "probes=true")
         bad, good = await proven(world), await proven(world)
         give_up = [message(12, str(n), parameter(143, b"\x10")) for n in range(100)]
@@ -274,7 +274,7 @@
                 told_of.append(wire.owner.number)
                 row = world.row(wire.owner.number, "terminating")
                 pool = {"revision": 2, "complete": False, "members": [row]}
-                world.node.board._take(json_line({"rev": 2, "pool": pool}))
+                world.node.board._handle_line(json_line({"rev": 2, "pool": pool}))
 
         before(world.patch, ServerConnection, "connection_made", drains)
         viewer.send(set_up("1"))
@@ -293,11 +293,11 @@
     world: World, monkeypatch: pytest.MonkeyPatch, out: bool
 ) -> None:
     """A drain counts as told from the first, and the list of the start does not name it."""
-    monkeypatch.setattr(node_board, "ANSWER", 60.0)
+    monkeypatch.setattr(node_board, "CATCH_UP_S", 60.0)
 
     async def course(world: World) -> None:
         world.facts["safety"]["drainGrace"] = 60_000.0
-        before(world.patch, node_board.Board, "_watch", lambda *_: asks())
+        before(world.patch, node_board.DiscoveryClient, "_watch", lambda *_: asks())
         early = list[Raw]()
 
         def asks() -> None:
@@ -306,7 +306,7 @@
 
         world.patch.setattr(ReconnectSchedule, "start", lambda self, now: now + 20_000)
         await world.begin()
-        world.node.servers.informed = out
+        world.node.servers.setups_enabled = out
         await world.step("b", "is-asked", "1")
         while (held := world.node.engine.find(sess("1"))) is None or not held.out:
             await asyncio.sleep(0)
@@ -769,7 +769,7 @@
         link.connect()
         await asyncio.sleep(0)
         time.sleep(0.05)
-        while link.connecting is not None:
+        while link.connect_task is not None:
             await asyncio.sleep(0)
         assert link.connection is not None
 
@@ -788,13 +788,13 @@
         await world.step("b", "is-asked", "1")
         board = world.node.board
         await world.step("b", "counts", "1")
-        while not world.node.servers.informed:
+        while not world.node.servers.setups_enabled:
             await asyncio.sleep(0)
         await world.step("b", "counts", "1")
         time.sleep(0.2)
         for _ in range(8):
             await asyncio.sleep(0)
-        assert not board.breaks
+        assert not board.disconnects
 
     run(world, course, out)
 
@@ -858,7 +858,7 @@
             await asyncio.sleep(0)
         box.write(line[10:])
         time.sleep(0.05)
-        link.look(clock(), 60_000_000)
+        link.tick(clock(), 60_000_000)
         assert link.connection is not None
         assert (await viewer.hears())[0] == 9
         viewer.close()
@@ -910,7 +910,7 @@
         link.lease.connect_timeout = timeout
         link.lease.heard(heard_at := clock())
         for at, asked in ((after - 10_000, False), (after + 10_000, True)):
-            link.look(heard_at + at, 60_000_000)
+            link.tick(heard_at + at, 60_000_000)
             assert any(sign is Sign.ASKED for _, sign, _ in link.lease.signs) is asked, at
 
     run(world, course)
@@ -931,7 +931,7 @@
             await asyncio.sleep(0.01)
         world.patch.setattr(node_server_link, "connect_within", held_back)
         looks = list[int]()
-        before(world.patch, node_servers.Servers, "look", lambda *_: looks.append(0))
+        before(world.patch, node_servers.Servers, "tick", lambda *_: looks.append(0))
         viewer.send(set_up("1", at="s-00000001"))
         while not world.node.engine.held:
             await asyncio.sleep(0)
@@ -1051,7 +1051,7 @@
 def test_a_session_handed_over_at_a_server_that_no_list_names_is_released(
     world: World, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(node_servers, "UNLISTED_FOR", 50_000)
+    monkeypatch.setattr(node_servers, "UNLISTED_TIMEOUT_US", 50_000)
 
     async def course(world: World) -> None:
         await begun(world, "look=10000")
--- a/tests/node/test_work_per_turn.py
+++ b/tests/node/test_work_per_turn.py
@@ -11,7 +11,7 @@
 from ponddoor.front.limits import Gate, LagMeter
 from ponddoor.front.pump import Pump, clock
 from ponddoor.front.roster import Entry, ListMessage, Roster
-from ponddoor.node.servers import LOST_A_TURN, NEEDED_OVER_LIMIT, Servers
+from ponddoor.node.servers import MAX_NEEDED_OVER_LIMIT, MAX_SESSIONS_ENDED_PER_TURN, Servers
 from ponddoor.obligations.lease import SILENT_LIMIT
 from ponddoor.settings.site import loads
 from tests.front.conftest import site_text
@@ -37,7 +37,7 @@
     def tell(self, entries: list[Entry], since: int | None) -> None:
         change = self.roster.take(ListMessage("l", self.roster.version + 1, entries, since))
         assert change is not None
-        self.servers.learn(change)
+        self.servers.apply_list_change(change)
 
 
 def entry(number: int, cells: int, state: str = "ready") -> Entry:
@@ -47,11 +47,11 @@
 def test_connections_to_servers_that_are_all_needed_are_bounded() -> None:
     async def run() -> None:
         shell = Shell(200)
-        shell.servers.most = 20
+        shell.servers.max_connections = 20
         for link in shell.servers.links.values():
             link.connect()
-        assert len(shell.servers.connected) == 20 + NEEDED_OVER_LIMIT
-        assert shell.servers.counts["no-room"] == 200 - 20 - NEEDED_OVER_LIMIT
+        assert len(shell.servers.open_links) == 20 + MAX_NEEDED_OVER_LIMIT
+        assert shell.servers.counts["no-room"] == 200 - 20 - MAX_NEEDED_OVER_LIMIT
 
     asyncio.run(run())
 
@@ -67,16 +67,16 @@
                     now, f"{number:016x}", Ask("t", 0, 0, 0, 8, 9, 3 * SECOND), server
                 )
             )
-            shell.servers.used(shell.servers.links[server])
+            shell.servers.mark_used(shell.servers.links[server])
         for look in range(0, SILENT_LIMIT + SECOND // 4, SECOND // 4):
-            shell.servers.look(began_at + look, 60 * SECOND)
+            shell.servers.tick(began_at + look, 60 * SECOND)
         assert engine.held == sessions
-        shell.servers.look(began_at + SILENT_LIMIT + SECOND // 2, 60 * SECOND)
-        assert engine.held >= sessions - LOST_A_TURN
+        shell.servers.tick(began_at + SILENT_LIMIT + SECOND // 2, 60 * SECOND)
+        assert engine.held >= sessions - MAX_SESSIONS_ENDED_PER_TURN
         while engine.held:
             before = engine.held
             await asyncio.sleep(0)
-            assert before - LOST_A_TURN <= engine.held < before
+            assert before - MAX_SESSIONS_ENDED_PER_TURN <= engine.held < before
         for link in shell.servers.links.values():
             link.close()
 
@@ -89,9 +89,9 @@
     return steps_of(lambda: shell.tell(changed, shell.roster.version))
 
 
-def look(shell: Shell) -> int:
+def tick(shell: Shell) -> int:
     """The look that comes each quarter of a second."""
-    return steps_of(lambda: shell.servers.look(clock(), 20 * SECOND))
+    return steps_of(lambda: shell.servers.tick(clock(), 20 * SECOND))
 
 
 def connect(shell: Shell) -> int:
@@ -99,12 +99,14 @@
     return steps_of(shell.servers.links[7].connect)
 
 
-def inform(shell: Shell) -> int:
+def enable_setups(shell: Shell) -> int:
     """SETUPs may go out."""
-    return steps_of(shell.servers.inform)
+    return steps_of(shell.servers.enable_setups)
 
 
-@pytest.mark.parametrize("event", [list_change, look, connect, inform], ids=lambda event: event.__name__)
+@pytest.mark.parametrize(
+    "event", [list_change, tick, connect, enable_setups], ids=lambda event: event.__name__
+)
 def test_work_of_the_shell_does_not_grow_with_servers(event: Callable[[Shell], int]) -> None:
     steps = {}
     for count in COUNTS:
--- a/tests/obligations/completeness_schedules.py
+++ b/tests/obligations/completeness_schedules.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from ponddoor.node.connection_refresh import CANDIDATE_LIMIT
+from ponddoor.node.connection_refresh import CANDIDATE_TIMEOUT_US
 from ponddoor.obligations.completeness import PROOF_WITHIN, Completeness
 from ponddoor.obligations.lease import SECOND, Due, Lease
 
@@ -162,7 +162,7 @@
         heard_at = self.lease.proven_at or 0
         candidate = self.candidate
         if candidate is not None:
-            limit = PROOF_WITHIN if heard_at > candidate.opened_at else CANDIDATE_LIMIT
+            limit = PROOF_WITHIN if heard_at > candidate.opened_at else CANDIDATE_TIMEOUT_US
             if self.now - candidate.opened_at > limit:
                 self.candidate = None
                 self.completeness.refresh_failed(self.now, candidate.opened_at, heard_at)
