--- a/ponddoor/node/board.py
+++ b/ponddoor/node/board.py
@@ -94,9 +94,9 @@
         except OSError as problem:
             return Loss.REFUSED, str(problem)
         try:
-            writer.write(board_codec.watch(self.roster.version))
+            writer.write(board_codec.encode_watch(self.roster.version))
             asyncio.get_running_loop().call_later(CATCH_UP_S, self.asked)
-            lines, due = Lines(board_codec.MOST), clock() + int(SILENCE_TIMEOUT_S * SECOND)
+            lines, due = Lines(board_codec.MAX_LINE_BYTES), clock() + int(SILENCE_TIMEOUT_S * SECOND)
             # Only what is whole is a sign: a board that stopped in a line, or drips, tells nothing
             while data := await read_within(max(due - clock(), 0) / SECOND, reader, 65_536):
                 for line in lines.feed(data):
--- a/ponddoor/node/board_codec.py
+++ b/ponddoor/node/board_codec.py
@@ -9,7 +9,7 @@
 from ponddoor.front.roster import Entry, ListMessage
 from ponddoor.node.lines import UnreadableError
 
-MOST = 1 << 24  # bytes of a line: 12,800 servers of a kibibyte each, and some more
+MAX_LINE_BYTES = 1 << 24  # bytes of a line: 12,800 servers of a kibibyte each, and some more
 LIST = "board"  # events of one start are one list
 _STATES = {"in_service": "ready", "terminating": "draining", "terminated": "gone"}
 _SERVER = re.compile("s-([0-9a-f]{8})")
@@ -53,7 +53,7 @@
     return f"s-{number:08x}"
 
 
-def watch(last: int) -> bytes:
+def encode_watch(last: int) -> bytes:
     """The request for every event after the last one in hand."""
     return b"watch %d\n" % last
 
--- a/ponddoor/node/connection_refresh.py
+++ b/ponddoor/node/connection_refresh.py
@@ -12,8 +12,8 @@
 from ponddoor.web.unread import has_unread
 
 CANDIDATE_TIMEOUT_US = SECOND  # for a server that says nothing anywhere: what it was asked may be lost
-FINISH_LIMIT = SECOND  # from the end of our side to that of the server's
-MOST_RETIRING = 2
+HALF_CLOSE_TIMEOUT_US = SECOND  # from the end of our side to that of the server's
+MAX_RETIRING = 2
 
 
 class Connections(Protocol):
@@ -21,7 +21,7 @@
 
     engine: Engine
     connect_timeout: int
-    beside: dict[ServerConnection, None]
+    extra_connections: dict[ServerConnection, None]
 
     def count(self, what: str) -> None: ...
 
@@ -34,13 +34,13 @@
 
     @property
     def servers(self) -> Connections: ...
-    def open_another(self) -> bool: ...
-    def use(self, connection: ServerConnection) -> ServerConnection | None: ...
-    def ask_for_sign(self, connection: ServerConnection) -> None: ...
+    def open_extra_connection(self) -> bool: ...
+    def switch_to(self, connection: ServerConnection) -> ServerConnection | None: ...
+    def request_sign_of_life(self, connection: ServerConnection) -> None: ...
     def log_connection(self, event: str, connection: ServerConnection, **more: object) -> None: ...
     def fail_setups(self, connection: ServerConnection) -> None: ...
-    def release_again(self, now: int, sess: str) -> None: ...
-    def give_up_unproven(self, now: int, standing_since: int) -> None: ...
+    def resend_release(self, now: int, sess: str) -> None: ...
+    def end_unproven_sessions(self, now: int, standing_since: int) -> None: ...
 
 
 @dataclass(slots=True)
@@ -48,7 +48,7 @@
     """A connection that was replaced."""
 
     since: int
-    finishing_since: int | None = None
+    half_closed_at: int | None = None
 
 
 @dataclass(slots=True)
@@ -63,7 +63,7 @@
 
     # What may be looked at
 
-    def holds(self, connection: ServerConnection) -> bool:
+    def owns(self, connection: ServerConnection) -> bool:
         """Whether it is one of these."""
         return connection is self.candidate or connection in self.retiring
 
@@ -84,37 +84,41 @@
     def begin(self, now: int, sign_wanted: bool = False) -> bool:
         """Open a connection to hear what may have been missed, and, if wanted, a sign of life. False where
         there is no room for it."""
-        if self.candidate is not None or len(self.retiring) >= MOST_RETIRING or not self.link.open_another():
+        if (
+            self.candidate is not None
+            or len(self.retiring) >= MAX_RETIRING
+            or not self.link.open_extra_connection()
+        ):
             return False
         self._sign_wanted = sign_wanted
         self.completeness.refresh_began(now)
         self.link.servers.count("refreshes")
         return True
 
-    def opened(self, candidate: ServerConnection) -> None:
+    def candidate_opened(self, candidate: ServerConnection) -> None:
         """It came up."""
         now, doubted_from = clock(), self.completeness.doubted_from
         self.candidate = candidate
-        self.link.servers.beside[candidate] = None
+        self.link.servers.extra_connections[candidate] = None
         doubted_ms = None if doubted_from is None else (now - doubted_from) // 1000
         self.link.log_connection("connection-opened", candidate, beside=True, doubted_ms=doubted_ms)
         proven = self.completeness.came_up(now, candidate.opened_at, self.link.lease.proven_at or 0)
         if proven and not self._sign_wanted:
-            self._replace(now, candidate)
+            self._promote(now, candidate)
         else:
-            self.link.ask_for_sign(candidate)
+            self.link.request_sign_of_life(candidate)
 
-    def failed(self, connection: ServerConnection, why: str) -> None:
+    def candidate_failed(self, connection: ServerConnection, why: str) -> None:
         """It has proven nothing."""
         self.link.servers.count("refreshes-failed")
         self.link.log_connection("refresh-failed", connection, why=why)
         self.completeness.refresh_failed(clock(), connection.opened_at, self.link.lease.proven_at or 0)
 
-    def heard(self, now: int, connection: ServerConnection, silent_for: int) -> None:
+    def message_received(self, now: int, connection: ServerConnection, silent_for: int) -> None:
         """A message came on any connection to the server, after a silence of this length."""
         on_refresh = connection is self.candidate
         if on_refresh:
-            self._replace(now, connection)
+            self._promote(now, connection)
         if silent_for > SILENCE:
             self.completeness.speaks_again(now)
         self.completeness.answered(now, connection.opened_at, connection.age(now), on_refresh)
@@ -122,31 +126,31 @@
         if self.completeness.refresh_due_with_message(now, standing_since):
             self.begin(now)
 
-    def _replace(self, now: int, candidate: ServerConnection) -> None:
+    def _promote(self, now: int, candidate: ServerConnection) -> None:
         """The server speaks on the new connection: it takes the place of the one in use."""
-        self.take_candidate()
+        self.detach_candidate()
         self.link.servers.count("connections-replaced")
         self.link.log_connection("connection-in-use", candidate, age_ms=candidate.age(now) // 1000)
-        old = self.link.use(candidate)
+        old = self.link.switch_to(candidate)
         if old is None:
             return
-        self.link.servers.beside[old] = None
+        self.link.servers.extra_connections[old] = None
         self.retiring[old] = Retirement(now)
         if self.completeness.doubted_from is not None:
-            for sess in old.unheard_releases(now, self.completeness.doubted_from):
-                del old.released[sess]
-                self.link.release_again(now, sess)
+            for sess in old.unconfirmed_releases(now, self.completeness.doubted_from):
+                del old.unacknowledged_releases[sess]
+                self.link.resend_release(now, sess)
 
-    def take_candidate(self) -> ServerConnection | None:
+    def detach_candidate(self) -> ServerConnection | None:
         """The new connection, which is none of these any more."""
         candidate, self.candidate = self.candidate, None
         if candidate is not None:
-            self.link.servers.beside.pop(candidate, None)
+            self.link.servers.extra_connections.pop(candidate, None)
         return candidate
 
     def drop_candidate(self) -> None:
         """The new connection is not wanted any more."""
-        if (candidate := self.take_candidate()) is not None:
+        if (candidate := self.detach_candidate()) is not None:
             candidate.abort()
 
     # Ends
@@ -154,70 +158,70 @@
     def forget_release(self, sess: str) -> None:
         """A session is set up anew: its earlier release must not be repeated."""
         for one in self.retiring:
-            one.released.pop(sess, None)
+            one.unacknowledged_releases.pop(sess, None)
 
-    def ended(self, connection: ServerConnection, why: str) -> None:
+    def connection_ended(self, connection: ServerConnection, why: str) -> None:
         """One of these connections has ended, or is of no use any more."""
         if connection is self.candidate:
-            self.take_candidate()
-            self.failed(connection, why)
+            self.detach_candidate()
+            self.candidate_failed(connection, why)
         elif self.retiring.pop(connection, None) is not None:
             self.link.log_connection("connection-ended", connection, why=why, setups=len(connection.setups))
-            self.link.servers.beside.pop(connection, None)
+            self.link.servers.extra_connections.pop(connection, None)
             self.link.fail_setups(connection)
             now = clock()
-            for sess in () if connection.read_to_its_end else connection.unheard_releases(now, None):
-                self.link.release_again(now, sess)
+            for sess in () if connection.closed_by_server else connection.unconfirmed_releases(now, None):
+                self.link.resend_release(now, sess)
         connection.abort()
 
     def end_all(self, why: str) -> None:
         """None of these is of any use any more."""
         self.drop_candidate()
         for connection in list(self.retiring):
-            self.ended(connection, why)
+            self.connection_ended(connection, why)
 
     def close(self) -> None:
         """What has been written still leaves."""
-        for connection in (self.take_candidate(), *self.retiring):
+        for connection in (self.detach_candidate(), *self.retiring):
             if connection is not None and connection.transport is not None:
                 connection.transport.close()
         for connection in self.retiring:
-            self.link.servers.beside.pop(connection, None)
+            self.link.servers.extra_connections.pop(connection, None)
         self.retiring.clear()
 
     # Time
 
     def tick(self, now: int, in_use: bool) -> None:
         """What time alone brings; `in_use` is whether anything depends on the server."""
-        self._look_at_retiring(now)
+        self._check_retiring(now)
         if not in_use:
             self.completeness.unused(now)
             return
         self.completeness.looks(now)
         candidate = self.candidate
-        if candidate is not None and self._is_late(now, candidate):
+        if candidate is not None and self._has_timed_out(now, candidate):
             if has_unread(candidate.transport):
                 return
-            self.ended(candidate, "no answer on it")
+            self.connection_ended(candidate, "no answer on it")
         standing_since = self.link.servers.engine.standing_since(self.link.number)
         if self.completeness.refresh_due(now, standing_since):
             self.begin(now)
         over_since = self.completeness.over_if_standing_since(now)
         if over_since is not None and standing_since is not None and standing_since <= over_since:
-            self.link.give_up_unproven(now, over_since)
+            self.link.end_unproven_sessions(now, over_since)
 
-    def _is_late(self, now: int, candidate: ServerConnection) -> bool:
+    def _has_timed_out(self, now: int, candidate: ServerConnection) -> bool:
         """Whether it has proven nothing in its time: less where the server speaks on another connection."""
         heard_at = self.link.lease.proven_at or 0
         speaks_elsewhere = candidate.established_at is not None and heard_at > candidate.established_at
         return candidate.age(now) > (PROOF_WITHIN if speaks_elsewhere else CANDIDATE_TIMEOUT_US)
 
-    def _look_at_retiring(self, now: int) -> None:
+    def _check_retiring(self, now: int) -> None:
         """End what nothing is out on: a test is answered, or late, within a connect timeout."""
         for connection, retirement in list(self.retiring.items()):
-            if retirement.finishing_since is None:
+            if retirement.half_closed_at is None:
                 if not connection.setups and now - retirement.since > self.link.servers.connect_timeout:
-                    connection.finish()
-                    retirement.finishing_since = now
-            elif now - retirement.finishing_since > FINISH_LIMIT:
-                self.ended(connection, "does not end")
+                    connection.half_close()
+                    retirement.half_closed_at = now
+            elif now - retirement.half_closed_at > HALF_CLOSE_TIMEOUT_US:
+                self.connection_ended(connection, "does not end")
--- a/ponddoor/node/server_codec.py
+++ b/ponddoor/node/server_codec.py
@@ -11,22 +11,22 @@
 from ponddoor.node.lines import UnreadableError
 from ponddoor.platform.facts import report_field_name
 
-MOST = 16_384  # bytes of a line
-_SESS = re.compile("[0-9a-f]{16}")
+MAX_LINE_BYTES = 16_384  # bytes of a line
+_SESSION_ID = re.compile("[0-9a-f]{16}")
 _GIVEN_UP, _ENDED_BY_VIEWER, _WITH_REPORT = 16, 31, 1
-_BEFORE = {34: ev.Result.FULL, 47: ev.Result.ERROR, 102: ev.Result.MOOT}
-_AFTER = {16: "over", 31: "viewer-gone"}
-_NOTES = {
+_RESULT_OF_FAILED_SETUP = {34: ev.Result.FULL, 47: ev.Result.ERROR, 102: ev.Result.MOOT}
+_REASON_OF_ENDED_SESSION = {16: "over", 31: "viewer-gone"}
+_NOTE_KINDS = {
     "d": ev.NoteKind.DELIVERED,
     "r": ev.NoteKind.RUNG,
     "l": ev.NoteKind.LINK_ASKED,
     "u": ev.NoteKind.UPLINK_ASKED,
 }
-_FREE = frozenset(("wait", "gauge", "step", "shift", "hb", "new"))
+_IGNORED_KINDS = frozenset(("wait", "gauge", "step", "shift", "hb", "new"))
 
 
 @dataclass(frozen=True, slots=True)
-class Stands:
+class SetupAccepted:
     """A SETUP is answered: the session plays, with what the server gave for the viewer."""
 
     sess: str
@@ -34,7 +34,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ended:
+class SessionEnded:
     """A SETUP failed (`before`), or the session it began is over (`after`, a word of the engine)."""
 
     sess: str
@@ -44,7 +44,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Tested:
+class ProbeAnswered:
     """A probe is answered."""
 
     sess: str
@@ -53,7 +53,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Noted:
+class SessionNote:
     """A note on a session that plays."""
 
     sess: str
@@ -62,13 +62,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Heard:
+class ReleaseAcknowledged:
     """A release is acknowledged."""
 
     sess: str
 
 
-Message = Stands | Ended | Tested | Noted | Heard
+Message = SetupAccepted | SessionEnded | ProbeAnswered | SessionNote | ReleaseAcknowledged
 
 
 class _Line(msgspec.Struct, frozen=True):
@@ -85,31 +85,33 @@
         got = msgspec.json.decode(line, type=_Line)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as problem:
         raise UnreadableError(f"no message: {str(problem)[:80]}") from None
-    if not _SESS.fullmatch(got.ref):
+    if not _SESSION_ID.fullmatch(got.ref):
         raise UnreadableError("no id of a session")
     match got.t:
         case "up":
             if got.d is None:
                 raise UnreadableError("an answer without a description")
-            return Stands(got.ref, got.d)
+            return SetupAccepted(got.ref, got.d)
         case "down":
             if got.c is None:
                 raise UnreadableError("an end without a cause")
-            before = _BEFORE.get(got.c, ev.Result.RESET)
-            return Ended(got.ref, before, _AFTER.get(got.c, "lost"), _report(got.f.get("load")))
+            before = _RESULT_OF_FAILED_SETUP.get(got.c, ev.Result.RESET)
+            return SessionEnded(
+                got.ref, before, _REASON_OF_ENDED_SESSION.get(got.c, "lost"), _report(got.f.get("load"))
+            )
         case "hb_ok":
-            return Tested(got.ref, got.c == 1, _report(got.f.get("load")))
+            return ProbeAnswered(got.ref, got.c == 1, _report(got.f.get("load")))
         case "tell":
-            return _noted(got)
+            return _session_note(got)
         case "ack":
-            return Heard(got.ref)
-    if got.t not in _FREE:
+            return ReleaseAcknowledged(got.ref)
+    if got.t not in _IGNORED_KINDS:
         raise UnreadableError("a message of no known kind")
     return None
 
 
-def _noted(got: _Line) -> Noted | None:
-    kind = _NOTES.get(str(got.f.get("note")))
+def _session_note(got: _Line) -> SessionNote | None:
+    kind = _NOTE_KINDS.get(str(got.f.get("note")))
     try:
         value = float(got.f.get("value", "nan"))
     except ValueError:
@@ -118,7 +120,7 @@
         return None
     if not 0 <= value < 1e6:
         raise UnreadableError("a note without a figure")
-    return Noted(got.ref, kind, value)
+    return SessionNote(got.ref, kind, value)
 
 
 def _report(text: str | int | float | None) -> dict[str, float]:
@@ -135,30 +137,30 @@
     return report
 
 
-def setup(sess: str, ask: Ask, group: str, rung: int, timeout: int) -> bytes:
+def encode_setup(sess: str, ask: Ask, group: str, rung: int, timeout: int) -> bytes:
     """A SETUP; `timeout` in microseconds."""
     fields = {"class": group, "left": str(max(timeout // 1000, 1)), "key": ask.title, "rung": str(rung)}
-    return _line({"t": "new", "ref": sess, "f": fields, "d": ask.description})
+    return _encode({"t": "new", "ref": sess, "f": fields, "d": ask.description})
 
 
-def give_up(sess: str) -> bytes:
+def encode_give_up(sess: str) -> bytes:
     """A SETUP is waited for no longer."""
-    return _line({"t": "down", "ref": sess, "f": {}, "c": _GIVEN_UP})
+    return _encode({"t": "down", "ref": sess, "f": {}, "c": _GIVEN_UP})
 
 
-def release(sess: str) -> bytes:
+def encode_release(sess: str) -> bytes:
     """A session that plays ends."""
-    return _line({"t": "down", "ref": sess, "f": {}, "c": _ENDED_BY_VIEWER})
+    return _encode({"t": "down", "ref": sess, "f": {}, "c": _ENDED_BY_VIEWER})
 
 
-def rung(sess: str, number: int) -> bytes:
-    return _line({"t": "step", "ref": sess, "f": {"rung": str(number)}})
+def encode_rung(sess: str, number: int) -> bytes:
+    return _encode({"t": "step", "ref": sess, "f": {"rung": str(number)}})
 
 
-def test(sess: str, with_report: bool) -> bytes:
+def encode_probe(sess: str, with_report: bool) -> bytes:
     """A probe, with the wish for a report or as a mere sign of life."""
-    return _line({"t": "hb", "ref": sess, "f": {}, "c": _WITH_REPORT if with_report else 0})
+    return _encode({"t": "hb", "ref": sess, "f": {}, "c": _WITH_REPORT if with_report else 0})
 
 
-def _line(message: dict[str, object]) -> bytes:
+def _encode(message: dict[str, object]) -> bytes:
     return msgspec.json.encode(message) + b"\n"
--- a/ponddoor/node/server_link.py
+++ b/ponddoor/node/server_link.py
@@ -22,7 +22,7 @@
 from ponddoor.node.connection_refresh import ConnectionRefresh, Connections
 from ponddoor.node.descriptors import is_resource_exhaustion
 from ponddoor.node.server_connection import ServerConnection
-from ponddoor.node.server_messages import Item, MessageOwner, ServerMessages
+from ponddoor.node.server_messages import MessageOwner, Outgoing, ServerMessages
 from ponddoor.obligations.completeness import Completeness
 from ponddoor.obligations.lease import Due, Lease, Sign
 from ponddoor.web.connecting import connect_within
@@ -32,10 +32,10 @@
     SECOND  # a server told gone that is answered for so long: a new one has its address
 )
 PARTIAL_LINE_TIMEOUT_US = SECOND // 4  # a line that takes longer than this to end does not end
-UNREAD_GRACE = SECOND // 4  # what has come as a lease ends is read first, for so long
-WAIT_WITH_SESSIONS = SECOND  # between two connects to a server where sessions stand, at most
-MOST_WAITING = 1000  # messages that wait for one connection
-MOST_PENDING_RELEASES = 1000  # for a server out of reach, or unread on a connection that may end
+UNREAD_GRACE_US = SECOND // 4  # what has come as a lease ends is read first, for so long
+MAX_BACKOFF_WITH_SESSIONS_US = SECOND  # between two connects to a server where sessions stand, at most
+MAX_QUEUED_MESSAGES = 1000  # messages that wait for one connection
+MAX_PENDING_RELEASES = 1000  # for a server out of reach, or unread on a connection that may end
 log = structlog.get_logger("servers")
 
 
@@ -48,8 +48,8 @@
 
     def mark_used(self, link: "ServerLink") -> None: ...
     def make_room(self) -> bool: ...
-    def turn(self) -> int: ...
-    def lose(self, link: "ServerLink", why: str, standing_since: int | None = None) -> None: ...
+    def connect_delay(self) -> int: ...
+    def end_sessions(self, link: "ServerLink", why: str, standing_since: int | None = None) -> None: ...
 
 
 @dataclass(slots=True, eq=False)
@@ -61,11 +61,11 @@
     entry: Entry
     connection: ServerConnection | None = None
     connect_task: asyncio.Task[None] | None = None
-    waiting: list[Item] = field(default_factory=list)
+    queued: list[Outgoing] = field(default_factory=list)
     pending_releases: dict[str, None] = field(default_factory=dict)  # for the next connection
-    used_at: int = 0
+    last_used_at: int = 0
     gone_since: int | None = None
-    later: asyncio.TimerHandle | None = None
+    connect_timer: asyncio.TimerHandle | None = None
     backoff: ConnectBackoff = field(init=False)
     lease: Lease = field(init=False)
     refresh: ConnectionRefresh = field(init=False)
@@ -74,30 +74,30 @@
     def __post_init__(self) -> None:
         self.backoff = ConnectBackoff(self.servers.random)
         self.lease = Lease(self.servers.connect_timeout)
-        self.refresh = ConnectionRefresh(self, Completeness(self.servers.turn()))
+        self.refresh = ConnectionRefresh(self, Completeness(self.servers.connect_delay()))
         self.messages = ServerMessages(self)
 
-    def say(self, item: Item) -> None:
+    def send(self, item: Outgoing) -> None:
         """Write a message, or keep it until the connection is there; a SETUP, until all is read."""
-        self.used_at = clock()
+        self.last_used_at = clock()
         self.servers.mark_used(self)
         if self.connection is not None and not isinstance(item, fx.SendSetup):
             self.messages.write(self.connection, item)
-        elif len(self.waiting) < MOST_WAITING:
-            self.waiting.append(item)
+        elif len(self.queued) < MAX_QUEUED_MESSAGES:
+            self.queued.append(item)
             if self.connection is None:
                 self.connect()
             else:
-                self._send_once_read(item)
+                self._send_after_pending_reads(item)
         else:
             self.servers.count("too-many-waiting")
-            self.servers.never_sent(item, ev.Result.MOOT)
+            self.servers.fail_unsent(item, ev.Result.MOOT)
 
     @property
     def needed(self) -> bool:
         """Whether the connection carries something, or sessions play there."""
         plays = self.servers.engine.plays_at(self.number)
-        return bool(self.waiting or self.messages.tests or self.has_setups or plays)
+        return bool(self.queued or self.messages.probes or self.has_setups or plays)
 
     @property
     def has_setups(self) -> bool:
@@ -108,69 +108,71 @@
     @property
     def active(self) -> bool:
         """Whether time alone can bring something here."""
-        connects = self.connection is not None or self.connect_task is not None or self.later is not None
+        connects = (
+            self.connection is not None or self.connect_task is not None or self.connect_timer is not None
+        )
         return bool(connects or self.pending_releases or self.refresh.retiring or self.needed)
 
-    def send_waiting(self) -> None:
+    def send_queued(self) -> None:
         """What waits may go out, each message for itself."""
-        for item in self.waiting:
-            self._send_once_read(item)
+        for item in self.queued:
+            self._send_after_pending_reads(item)
 
-    def _send_once_read(self, item: Item) -> None:
+    def _send_after_pending_reads(self, item: Outgoing) -> None:
         """It goes out once all that has come by now is read: its viewer may have left, or its server drain,
         with the message that says so unread."""
         if self.servers.setups_enabled:
-            once_read(lambda: self._send(item))
+            once_read(lambda: self._send_queued_item(item))
 
-    def _send(self, item: Item) -> None:
+    def _send_queued_item(self, item: Outgoing) -> None:
         if self.connection is None:
             return
-        place = next((at for at, one in enumerate(self.waiting) if one is item), None)
+        place = next((at for at, one in enumerate(self.queued) if one is item), None)
         if place is not None:
-            del self.waiting[place]
+            del self.queued[place]
             self.messages.write(self.connection, item)
 
     def connect(self) -> None:
         """Connect now or, after failures, once the backoff allows it: what waits is answered by then."""
         if self.connection is not None or self.connect_task is not None:
             return
-        if self._held_back(clock()):
+        if self._backoff_wait(clock()):
             self.servers.count("connects-held-back")
-            self._fail_waiting(ev.Result.CONNECT_FAILED)
+            self._fail_queued(ev.Result.CONNECT_FAILED)
             if self.pending_releases:
-                self.connect_in_turn()
+                self.connect_staggered()
             return
-        self._no_later()
+        self._cancel_connect_timer()
         if not self.servers.make_room():
             self.servers.count("no-room")
-            self._fail_waiting(ev.Result.MOOT)
+            self._fail_queued(ev.Result.MOOT)
         else:
             self.connect_task = asyncio.create_task(self._connect())
             self.servers.open_links[self] = None
             self.servers.mark_used(self)
 
-    def _held_back(self, now: int) -> int:
+    def _backoff_wait(self, now: int) -> int:
         """How long the next connect has to wait: where sessions stand they must be heard of in time."""
         if self.servers.engine.plays_at(self.number):
-            return self.backoff.wait(now, WAIT_WITH_SESSIONS)
+            return self.backoff.wait(now, MAX_BACKOFF_WITH_SESSIONS_US)
         return self.backoff.wait(now)
 
-    def connect_in_turn(self) -> None:
+    def connect_staggered(self) -> None:
         """Connect after this front's part of a connect timeout: fronts that lost a server together do not
         connect to it together. No SETUP waits for it."""
-        if self.connection is None and self.connect_task is None and self.later is None:
+        if self.connection is None and self.connect_task is None and self.connect_timer is None:
             self.servers.mark_used(self)
-            wait = max(self.servers.turn(), self._held_back(clock()) + 1) / SECOND
-            self.later = asyncio.get_running_loop().call_later(wait, self._connect_later)
+            wait = max(self.servers.connect_delay(), self._backoff_wait(clock()) + 1) / SECOND
+            self.connect_timer = asyncio.get_running_loop().call_later(wait, self._connect_timer_due)
 
-    def _connect_later(self) -> None:
-        self.later = None
+    def _connect_timer_due(self) -> None:
+        self.connect_timer = None
         self.connect()
 
-    def _no_later(self) -> None:
-        if self.later is not None:
-            self.later.cancel()
-            self.later = None
+    def _cancel_connect_timer(self) -> None:
+        if self.connect_timer is not None:
+            self.connect_timer.cancel()
+            self.connect_timer = None
 
     async def _connect(self) -> None:
         host, _, port = self.entry.address.rpartition(":")
@@ -180,27 +182,27 @@
             await asyncio.get_running_loop().create_connection(lambda: connection, sock=opened)
         except (OSError, TimeoutError) as problem:
             self.connect_task = None
-            self._not_connected(connection, problem)
+            self._connect_failed(connection, problem)
             return
         self.connect_task = None
         if connection.transport is None or connection.transport.is_closing():
-            self._not_connected(connection, ConnectionResetError())
+            self._connect_failed(connection, ConnectionResetError())
         elif self.connection is None:
-            self._connected(connection)
+            self._connection_established(connection)
         else:
-            self.refresh.opened(connection)
+            self.refresh.candidate_opened(connection)
 
-    def _not_connected(self, connection: ServerConnection, problem: Exception) -> None:
+    def _connect_failed(self, connection: ServerConnection, problem: Exception) -> None:
         if self.connection is not None:
-            self.refresh.failed(connection, f"no connection: {problem!r}")
+            self.refresh.candidate_failed(connection, f"no connection: {problem!r}")
             return
         self.servers.open_links.pop(self, None)
         if isinstance(problem, OSError) and is_resource_exhaustion(problem):
-            self._no_descriptor(problem)
+            self._connect_out_of_resources(problem)
         else:
-            self._unreached(problem)
+            self._server_unreachable(problem)
 
-    def _connected(self, connection: ServerConnection) -> None:
+    def _connection_established(self, connection: ServerConnection) -> None:
         self.connection = connection
         self.servers.open_links[self] = None
         self.servers.count("connected")
@@ -211,20 +213,20 @@
         for sess in pending:
             connection.release(clock(), sess)
         if asks:
-            self.ask_for_sign(connection)
-        self.send_waiting()
+            self.request_sign_of_life(connection)
+        self.send_queued()
 
-    def ask_for_sign(self, connection: ServerConnection) -> None:
+    def request_sign_of_life(self, connection: ServerConnection) -> None:
         """Ask the server whether it lives."""
         self.lease.asked(clock())
         self.servers.count("sign-asked")
-        connection.write(codec.test(self.servers.new_id(), False))
+        connection.write(codec.encode_probe(self.servers.new_id(), False))
 
     def log_connection(self, event: str, connection: ServerConnection, **more: object) -> None:
         """A line about a connection."""
         log.info(event, server=server_id(self.number), connection=connection.number, **more)
 
-    def open_another(self) -> bool:
+    def open_extra_connection(self) -> bool:
         """Open a connection beside the one in use. False where there is none, or no room for another."""
         if self.connection is None or self.connect_task is not None or self.entry.state == "gone":
             return False
@@ -234,12 +236,12 @@
         self.connect_task = asyncio.create_task(self._connect())
         return True
 
-    def use(self, connection: ServerConnection) -> ServerConnection | None:
+    def switch_to(self, connection: ServerConnection) -> ServerConnection | None:
         """This connection is in use from now on; returns the one that was."""
         old, self.connection = self.connection, connection
         return old
 
-    def release_again(self, now: int, sess: str) -> None:
+    def resend_release(self, now: int, sess: str) -> None:
         """A release that may not have been read goes out on the connection in use, or on the next."""
         self.servers.count("releases-repeated")
         self.release(now, sess)
@@ -249,22 +251,22 @@
         if self.connection is not None:
             self.connection.release(now, sess)
         else:
-            self.keep_release(sess)
+            self.queue_release(sess)
 
-    def give_up_unproven(self, now: int, standing_since: int) -> None:
+    def end_unproven_sessions(self, now: int, standing_since: int) -> None:
         """What the sessions that have stood so long may have missed is overdue: they are over."""
         for held in self.servers.engine.playing_at(self.number):
             if held.standing_since <= standing_since:
                 self.release(now, held.sess)
-        self.servers.lose(self, "unproven", standing_since)
+        self.servers.end_sessions(self, "unproven", standing_since)
 
-    def _no_descriptor(self, problem: OSError) -> None:
+    def _connect_out_of_resources(self, problem: OSError) -> None:
         """The machine gives us no connection: nothing ran, and the server is not to blame."""
         self.servers.count("no-descriptor")
         log.warning("no-descriptor", server=server_id(self.number), why=str(problem))
-        self._fail_waiting(ev.Result.MOOT)
+        self._fail_queued(ev.Result.MOOT)
 
-    def _unreached(self, problem: Exception) -> None:
+    def _server_unreachable(self, problem: Exception) -> None:
         """No connection came up: nothing that waited for it ran. Refused, the process is dead."""
         now = clock()
         self.backoff.failed(now)
@@ -272,75 +274,75 @@
             self.servers.count("connect-refused")
             self.lease.refused(now)
             self.pending_releases.clear()
-            self.waiting = [item for item in self.waiting if not isinstance(item, fx.SendTeardown)]
-            self.servers.lose(self, "refused")
+            self.queued = [item for item in self.queued if not isinstance(item, fx.SendTeardown)]
+            self.servers.end_sessions(self, "refused")
         else:
             what = "late" if isinstance(problem, TimeoutError) else "failed"
             self.servers.count(f"connect-{what}")
             self.lease.note(now, Sign.BROKEN, f"connect {what}")
-        self._fail_waiting(ev.Result.CONNECT_FAILED)
+        self._fail_queued(ev.Result.CONNECT_FAILED)
 
-    def _fail_waiting(self, why: ev.Result) -> None:
+    def _fail_queued(self, why: ev.Result) -> None:
         """What waits is answered as never sent; releases wait for the next connection."""
-        waiting, self.waiting = self.waiting, []
+        waiting, self.queued = self.queued, []
         for item in waiting:
             if isinstance(item, fx.SendTeardown):
-                self.keep_release(item.sess)
+                self.queue_release(item.sess)
             else:
-                self.servers.never_sent(item, why)
+                self.servers.fail_unsent(item, why)
 
-    def keep_release(self, sess: str) -> None:
+    def queue_release(self, sess: str) -> None:
         """A release that can't be sent now goes out first on the next connection."""
         self.servers.mark_used(self)
-        if len(self.pending_releases) < MOST_PENDING_RELEASES:
+        if len(self.pending_releases) < MAX_PENDING_RELEASES:
             self.pending_releases[sess] = None
         else:
             self.servers.count("too-many-pending-releases")
 
-    def withdraw(self, sess: str, attempt: int) -> bool:
+    def withdraw_setup(self, sess: str, attempt: int) -> bool:
         """Take back a SETUP that has not gone out yet."""
         kept = [
             one
-            for one in self.waiting
+            for one in self.queued
             if not (isinstance(one, fx.SendSetup) and (one.sess, one.attempt) == (sess, attempt))
         ]
-        found = len(kept) < len(self.waiting)
-        self.waiting = kept
+        found = len(kept) < len(self.queued)
+        self.queued = kept
         return found
 
-    def take(self, connection: ServerConnection, line: bytes) -> None:
+    def handle_line(self, connection: ServerConnection, line: bytes) -> None:
         """A line has come. Raises UnreadableError for one that is no message."""
-        if self.connection is connection or self.refresh.holds(connection):
-            self.messages.take(connection, line)
+        if self.connection is connection or self.refresh.owns(connection):
+            self.messages.handle_line(connection, line)
 
-    def heard(self, now: int, connection: ServerConnection) -> None:
+    def message_received(self, now: int, connection: ServerConnection) -> None:
         """A message came: the server lives, and what it had to say may be proven heard."""
         silent_for = now - (self.lease.proven_at or now)
-        connection.heard = True
+        connection.received_message = True
         self.lease.heard(now)
-        if connection.was_of_use(now):
+        if connection.was_useful(now):
             self.backoff.succeeded()
-        self.refresh.heard(now, connection, silent_for)
+        self.refresh.message_received(now, connection, silent_for)
 
-    def unanswered(self, now: int, since: int) -> None:
+    def request_timed_out(self, now: int, since: int) -> None:
         """Something had no answer in its time. Doubt, if nothing at all has come since."""
         heard_at = self.lease.proven_at or 0
         if heard_at <= since:
             self.refresh.completeness.doubt(now, heard_at)
 
-    def unreadable(self, connection: ServerConnection, why: str) -> None:
+    def protocol_error(self, connection: ServerConnection, why: str) -> None:
         """What came is no message: nothing on this connection can be believed any more."""
         if self.connection is connection:
             self.servers.count("spoilt")
-            self._spoilt(connection)
+            self._back_off_after_protocol_error(connection)
             self.lease.note(clock(), Sign.NO_MESSAGE, why[:80])
             self._end_connection(connection, f"spoilt: {why}")
         else:
-            self.refresh.ended(connection, f"spoilt: {why}")
+            self.refresh.connection_ended(connection, f"spoilt: {why}")
 
-    def _spoilt(self, connection: ServerConnection) -> None:
+    def _back_off_after_protocol_error(self, connection: ServerConnection) -> None:
         now = clock()
-        if connection.heard:
+        if connection.received_message:
             self.backoff.hold(now, SPOILT_WAIT)
         else:
             self.backoff.failed(now, SPOILT_WAIT)
@@ -362,11 +364,11 @@
         """The connection is of no use any more: its SETUPs are lost, sessions that play are not."""
         now = clock()
         if self.connection is not connection:
-            self.refresh.ended(connection, why)
+            self.refresh.connection_ended(connection, why)
             return
-        if connection.ended_at_once(now):
+        if connection.failed_early(now):
             self.backoff.failed(now)
-        elif connection.was_of_use(now):
+        elif connection.was_useful(now):
             self.backoff.succeeded()
         self._end_connection(connection, why)
 
@@ -379,40 +381,40 @@
         self.servers.open_links.pop(self, None)
         self.servers.count("connection-ended")
         self.lease.note(now, Sign.BROKEN, why[:80])
-        tests = self.messages.take_tests()
-        unheard = connection.unheard_releases(now, self.refresh.completeness.doubted_from)
+        tests = self.messages.take_pending_probes()
+        unheard = connection.unconfirmed_releases(now, self.refresh.completeness.doubted_from)
         for sess in unheard:
             self.servers.count("releases-repeated")
-            self.keep_release(sess)
+            self.queue_release(sess)
         self.log_connection(
             "connection-broke", connection, why=why, setups=len(connection.setups), tests=len(tests)
         )
-        if (candidate := self.refresh.take_candidate()) is not None:
-            self._connected(candidate)
+        if (candidate := self.refresh.detach_candidate()) is not None:
+            self._connection_established(candidate)
         self.fail_setups(connection)
         for began in tests:
-            self.servers.probed(self.number, now - began, ev.Result.RESET, {})
-        if self.waiting and self.connection is None:
+            self.servers.probe_answered(self.number, now - began, ev.Result.RESET, {})
+        if self.queued and self.connection is None:
             self.connect()
         elif unheard:
-            self.connect_in_turn()
+            self.connect_staggered()
         if self.servers.engine.plays_at(self.number):
             if self.entry.state == "gone":
-                self.servers.lose(self, "gone")
+                self.servers.end_sessions(self, "gone")
             else:
-                self.connect_in_turn()
+                self.connect_staggered()
 
     def fail_setups(self, connection: ServerConnection) -> None:
         """The SETUPs that are out on a connection have ended with it."""
         setups, connection.setups = connection.setups, {}
         for sess, out in setups.items():
-            self.servers.answered(sess, out.attempt, self.number, ev.Result.RESET, {})
+            self.servers.setup_answered(sess, out.attempt, self.number, ev.Result.RESET, {})
 
     def tick(self, now: int, idle: int) -> None:
         """What time alone brings: a lease that ends, partial lines, idle connections, connections wanted."""
         connection, plays = self.connection, self.servers.engine.plays_at(self.number)
         if connection is None and (plays or self.pending_releases):
-            self.connect_in_turn()
+            self.connect_staggered()
         if connection is not None and plays and self.entry.state == "gone":
             # A new server that has taken the address answers for the one that has gone
             self.gone_since = self.gone_since or now
@@ -420,11 +422,11 @@
                 self.connection_failed(connection, "gone, and something answers there")
                 return
         self.refresh.tick(now, plays or self.has_setups)
-        self._look_at_lease(now, plays)
+        self._check_lease(now, plays)
         if connection is not None and self.connection is connection and not has_unread(connection.transport):
-            self._look_at_connection(connection, now, plays, idle)
+            self._check_connection(connection, now, plays, idle)
 
-    def _look_at_lease(self, now: int, plays: bool) -> None:
+    def _check_lease(self, now: int, plays: bool) -> None:
         connection = self.connection
         if not plays and not self.has_setups:
             self.lease.unused(now)
@@ -436,36 +438,38 @@
             if self.refresh.begin(now, sign_wanted=True):
                 self.lease.asked(now)  # on the new connection, as it comes up
             else:
-                self.ask_for_sign(connection)
-        elif due is Due.GIVE_UP and not (unread and now <= self.lease.expires_at + UNREAD_GRACE):
+                self.request_sign_of_life(connection)
+        elif due is Due.GIVE_UP and not (unread and now <= self.lease.expires_at + UNREAD_GRACE_US):
             self.give_up(now, "silent")
 
-    def _look_at_connection(self, connection: ServerConnection, now: int, plays: bool, idle: int) -> None:
+    def _check_connection(self, connection: ServerConnection, now: int, plays: bool, idle: int) -> None:
         if connection.partial_since is not None and now - connection.partial_since > PARTIAL_LINE_TIMEOUT_US:
             self.servers.count("partial-line")
             self.lease.note(now, Sign.NO_MESSAGE, "partial line")
             self.connection_failed(connection, "partial line")
-        elif not plays and not self.has_setups and not self.messages.tests and now - self.used_at > idle:
+        elif (
+            not plays and not self.has_setups and not self.messages.probes and now - self.last_used_at > idle
+        ):
             self.close_connection(connection, "idle")
 
     def give_up(self, now: int, why: str) -> None:
         """Nothing proves that the sessions there stand: they are over, and owed a release at the server."""
         self.fail_connections(why)
         for held in self.servers.engine.playing_at(self.number):
-            self.keep_release(held.sess)
-        self.servers.lose(self, why)
+            self.queue_release(held.sess)
+        self.servers.end_sessions(self, why)
 
     @property
     def unsent(self) -> bool:
         """Whether something is still to be written here."""
-        if self.waiting or self.pending_releases:
+        if self.queued or self.pending_releases:
             return True
         connections = (self.connection, *self.refresh.retiring)
-        return any(one is not None and one.unsent > 0 for one in connections)
+        return any(one is not None and one.unsent_bytes > 0 for one in connections)
 
     def close(self) -> None:
         """What has been written still leaves."""
-        self._no_later()
+        self._cancel_connect_timer()
         connection, self.connection = self.connection, None
         if connection is not None and connection.transport is not None:
             connection.transport.close()
@@ -473,4 +477,4 @@
             self.connect_task.cancel()
         self.refresh.close()
         self.servers.open_links.pop(self, None)
-        self.messages.take_tests()
+        self.messages.take_pending_probes()
--- a/ponddoor/node/server_messages.py
+++ b/ponddoor/node/server_messages.py
@@ -14,11 +14,11 @@
 from ponddoor.node import server_codec as codec
 from ponddoor.node.board_codec import server_id
 from ponddoor.node.connection_refresh import ConnectionRefresh
-from ponddoor.node.server_connection import ServerConnection, SetupOut
+from ponddoor.node.server_connection import PendingSetup, ServerConnection
 
 WRITE_BUFFER_LIMIT = 1 << 18  # bytes that a server may leave unread
 log = structlog.get_logger("servers")
-Item = fx.SendSetup | fx.SendTeardown | fx.SendRung | fx.SendProbe
+Outgoing = fx.SendSetup | fx.SendTeardown | fx.SendRung | fx.SendProbe
 
 
 class MessageOwner(Protocol):
@@ -32,8 +32,8 @@
     def apply(self) -> Apply: ...
     def count(self, what: str) -> None: ...
     def new_id(self) -> str: ...
-    def never_sent(self, item: Item, why: ev.Result) -> None: ...
-    def answered(
+    def fail_unsent(self, item: Outgoing, why: ev.Result) -> None: ...
+    def setup_answered(
         self,
         sess: str,
         attempt: int,
@@ -42,7 +42,7 @@
         report: dict[str, float],
         passed: str = "",
     ) -> None: ...
-    def probed(self, server: int, lag: int, result: ev.Result, report: dict[str, float]) -> None: ...
+    def probe_answered(self, server: int, lag: int, result: ev.Result, report: dict[str, float]) -> None: ...
 
 
 class MessageLink(Protocol):
@@ -54,8 +54,8 @@
 
     @property
     def servers(self) -> MessageOwner: ...
-    def heard(self, now: int, connection: ServerConnection) -> None: ...
-    def unanswered(self, now: int, since: int) -> None: ...
+    def message_received(self, now: int, connection: ServerConnection) -> None: ...
+    def request_timed_out(self, now: int, since: int) -> None: ...
     def connection_failed(self, connection: ServerConnection, why: str) -> None: ...
 
 
@@ -64,63 +64,65 @@
     """The messages of one link, on whichever connection. `tests` are the probes without an answer."""
 
     link: MessageLink
-    tests: dict[str, tuple[int, asyncio.TimerHandle]] = field(default_factory=dict)
+    probes: dict[str, tuple[int, asyncio.TimerHandle]] = field(default_factory=dict)
 
-    def write(self, connection: ServerConnection, item: Item) -> None:
+    def write(self, connection: ServerConnection, item: Outgoing) -> None:
         """Write what the decisions want; a server that reads nothing loses the connection."""
         log.debug("to-server", server=server_id(self.link.number), item=item)
         match item:
             case fx.SendSetup():
-                self._set_up(connection, item)
+                self._send_setup(connection, item)
             case fx.SendTeardown(sess, attempt):
-                self._tear_down(connection, sess, attempt)
+                self._send_teardown(connection, sess, attempt)
             case fx.SendRung(sess, _, _, rung):
-                connection.write(codec.rung(sess, rung))
+                connection.write(codec.encode_rung(sess, rung))
             case fx.SendProbe():
-                self._probe(connection)
-        if connection.unsent > WRITE_BUFFER_LIMIT:
+                self._send_probe(connection)
+        if connection.unsent_bytes > WRITE_BUFFER_LIMIT:
             self.link.connection_failed(connection, "does not read")
 
-    def _set_up(self, connection: ServerConnection, item: fx.SendSetup) -> None:
+    def _send_setup(self, connection: ServerConnection, item: fx.SendSetup) -> None:
         servers, sess = self.link.servers, item.sess
         if self.link.entry.state != "ready":  # it was when this was decided
-            servers.never_sent(item, ev.Result.MOOT)
+            servers.fail_unsent(item, ev.Result.MOOT)
             return
         group = servers.groups[item.ask.service_group]
-        line = codec.setup(sess, item.ask, group, item.rung, item.timeout)
-        if len(line) > codec.MOST:  # the server would end the connection, with all that is open on it
+        line = codec.encode_setup(sess, item.ask, group, item.rung, item.timeout)
+        if (
+            len(line) > codec.MAX_LINE_BYTES
+        ):  # the server would end the connection, with all that is open on it
             servers.count("too-long")
-            servers.never_sent(item, ev.Result.MOOT)
+            servers.fail_unsent(item, ev.Result.MOOT)
             return
         # An end is not to be taken for that of an attempt given up here before
-        connection.given_up.pop(sess, None)
+        connection.abandoned_setups.pop(sess, None)
         # Nor may a release of that attempt, sent again, end what is set up now
-        connection.released.pop(sess, None)
+        connection.unacknowledged_releases.pop(sess, None)
         self.link.refresh.forget_release(sess)
-        connection.setups[sess] = SetupOut(item.attempt, clock(), item.timeout)
+        connection.setups[sess] = PendingSetup(item.attempt, clock(), item.timeout)
         connection.write(line)
 
-    def _probe(self, connection: ServerConnection) -> None:
+    def _send_probe(self, connection: ServerConnection) -> None:
         sess, servers = self.link.servers.new_id(), self.link.servers
         within = servers.connect_timeout / SECOND
-        limit = asyncio.get_running_loop().call_later(within, self._probe_late, sess)
-        self.tests[sess] = (clock(), limit)
-        connection.write(codec.test(sess, True))
+        limit = asyncio.get_running_loop().call_later(within, self._probe_timed_out, sess)
+        self.probes[sess] = (clock(), limit)
+        connection.write(codec.encode_probe(sess, True))
 
-    def _probe_late(self, sess: str) -> None:
-        if sess in self.tests:
-            now, (began, _) = clock(), self.tests.pop(sess)
-            self.link.unanswered(now, began)
-            self.link.servers.probed(self.link.number, now - began, ev.Result.TIMEOUT, {})
+    def _probe_timed_out(self, sess: str) -> None:
+        if sess in self.probes:
+            now, (began, _) = clock(), self.probes.pop(sess)
+            self.link.request_timed_out(now, began)
+            self.link.servers.probe_answered(self.link.number, now - began, ev.Result.TIMEOUT, {})
 
-    def take_tests(self) -> list[int]:
+    def take_pending_probes(self) -> list[int]:
         """When the probes without an answer began; they wait no longer."""
-        tests, self.tests = self.tests, {}
+        tests, self.probes = self.probes, {}
         for _, limit in tests.values():
             limit.cancel()
         return [began for began, _ in tests.values()]
 
-    def _tear_down(self, connection: ServerConnection, sess: str, attempt: int) -> None:
+    def _send_teardown(self, connection: ServerConnection, sess: str, attempt: int) -> None:
         """Give up a SETUP that is out, or release a session that stands."""
         now, out = clock(), connection.setups.get(sess)
         if out is None or out.attempt != attempt:
@@ -132,49 +134,49 @@
             return
         connection.give_up(sess)
         if now >= out.sent_at + out.timeout:
-            self.link.unanswered(now, out.sent_at)
+            self.link.request_timed_out(now, out.sent_at)
 
-    def take(self, connection: ServerConnection, line: bytes) -> None:
+    def handle_line(self, connection: ServerConnection, line: bytes) -> None:
         """A line has come. What it says of sessions we do not know, or twice, is of no interest.
 
         Raises UnreadableError for one that is no message."""
         said = codec.decode_line(line)
-        self.link.heard(clock(), connection)
+        self.link.message_received(clock(), connection)
         log.debug("server-says", server=server_id(self.link.number), said=said)
         match said:
-            case codec.Stands(sess, passed):
-                self._stands(connection, sess, passed)
-            case codec.Ended():
-                self._ended(connection, said)
-            case codec.Heard(sess):
-                connection.released.pop(sess, None)
-            case codec.Tested(sess, well, report):
-                self._tested(sess, ev.Result.SERVED if well else ev.Result.ERROR, report)
-            case codec.Noted(sess, kind, value):
+            case codec.SetupAccepted(sess, passed):
+                self._setup_accepted(connection, sess, passed)
+            case codec.SessionEnded():
+                self._session_ended(connection, said)
+            case codec.ReleaseAcknowledged(sess):
+                connection.unacknowledged_releases.pop(sess, None)
+            case codec.ProbeAnswered(sess, well, report):
+                self._probe_answered(sess, ev.Result.SERVED if well else ev.Result.ERROR, report)
+            case codec.SessionNote(sess, kind, value):
                 servers, held = self.link.servers, self.link.servers.engine.find(sess)
                 if held is not None and held.server == self.link.number:
                     servers.apply(lambda now: servers.engine.note_on(now, sess, kind, value))
 
-    def _stands(self, connection: ServerConnection, sess: str, passed: str) -> None:
+    def _setup_accepted(self, connection: ServerConnection, sess: str, passed: str) -> None:
         out = connection.setups.pop(sess, None)
-        attempt = connection.given_up.pop(sess, None) if out is None else out.attempt
+        attempt = connection.abandoned_setups.pop(sess, None) if out is None else out.attempt
         if attempt is not None:
-            self.link.servers.answered(sess, attempt, self.link.number, None, {}, passed)
+            self.link.servers.setup_answered(sess, attempt, self.link.number, None, {}, passed)
 
-    def _ended(self, connection: ServerConnection, said: codec.Ended) -> None:
+    def _session_ended(self, connection: ServerConnection, said: codec.SessionEnded) -> None:
         """A SETUP has failed, or a session that stood is over."""
         servers, sess = self.link.servers, said.sess
         if (out := connection.setups.pop(sess, None)) is not None:
-            servers.answered(sess, out.attempt, self.link.number, said.before, said.report)
+            servers.setup_answered(sess, out.attempt, self.link.number, said.before, said.report)
             return
-        was_given_up = connection.given_up.pop(sess, None) is not None
+        was_given_up = connection.abandoned_setups.pop(sess, None) is not None
         held = servers.engine.find(sess)
         if not was_given_up and held is not None and held.server == self.link.number:
             attempt = held.attempt
             servers.apply(lambda now: servers.engine.stream_ended(now, sess, attempt, said.after))
 
-    def _tested(self, sess: str, result: ev.Result, report: dict[str, float]) -> None:
-        if sess in self.tests:
-            began, limit = self.tests.pop(sess)
+    def _probe_answered(self, sess: str, result: ev.Result, report: dict[str, float]) -> None:
+        if sess in self.probes:
+            began, limit = self.probes.pop(sess)
             limit.cancel()
-            self.link.servers.probed(self.link.number, clock() - began, result, report)
+            self.link.servers.probe_answered(self.link.number, clock() - began, result, report)
--- a/tests/fleet/test_fleet.py
+++ b/tests/fleet/test_fleet.py
@@ -231,7 +231,7 @@
 
 def test_each_front_has_a_turn_of_its_own_within_a_connect_timeout() -> None:
     engine: Any = None
-    turns = [Servers(engine, engine, (), 250_000, me, 200).turn() for me in range(200)]
+    turns = [Servers(engine, engine, (), 250_000, me, 200).connect_delay() for me in range(200)]
     assert max(turns) < 250_000 and peak(turns, 10_000) <= 8
 
 
--- a/tests/node/test_crossings.py
+++ b/tests/node/test_crossings.py
@@ -955,7 +955,7 @@
         await world.step("S", "answers", "1")
         assert (await viewer.hears())[0] == 9
         world.named["S"].dumb = True
-        world.node.servers._watched.clear()
+        world.node.servers._active_links.clear()
         got = await viewer.hears()
         assert (got[0], got[1:9].hex()) == (12, sess("1"))
         counts = world.node.viewers.sessions.violations.counts
