--- a/ponddoor/node/board.py
+++ b/ponddoor/node/board.py
@@ -16,8 +16,8 @@
 from ponddoor.interface import events as ev
 from ponddoor.node import board_codec
 from ponddoor.node.descriptors import DescriptorReserve, is_local
-from ponddoor.node.lines import Lines, UnreadableError
-from ponddoor.node.start import Address, Place
+from ponddoor.node.lines import LineReader, UnreadableError
+from ponddoor.node.start import Address, NodeSettings
 from ponddoor.web.connecting import connect_within
 from ponddoor.web.timing import read_within
 
@@ -46,9 +46,9 @@
     _rows: deque[ev.ServerRow] = field(default_factory=deque)  # told, and not yet fed to the engine
     _feeding: bool = False
 
-    def begin(self, place: Place) -> None:
+    def begin(self, place: NodeSettings) -> None:
         """The list of the start, then what follows."""
-        for message in place.known:
+        for message in place.known_notices:
             self.roster.take(message)
         known = self.roster.all()
         self.learned(known)
@@ -94,7 +94,7 @@
         try:
             writer.write(board_codec.watch(self.roster.version))
             asyncio.get_running_loop().call_later(ANSWER, self.asked)
-            lines, due = Lines(board_codec.MOST), clock() + int(SILENCE * SECOND)
+            lines, due = LineReader(board_codec.MOST), clock() + int(SILENCE * SECOND)
             # Only what is whole is a sign: a board that stopped in a line, or drips, tells nothing
             while data := await read_within(max(due - clock(), 0) / SECOND, reader, 65_536):
                 for line in lines.feed(data):
--- a/ponddoor/node/early.py
+++ b/ponddoor/node/early.py
@@ -7,4 +7,4 @@
     """The signal's number, and when it came (nanoseconds of the monotonic clock)."""
 
     number: int
-    came_at_ns: int
+    received_at_ns: int
--- a/ponddoor/node/lines.py
+++ b/ponddoor/node/lines.py
@@ -1,4 +1,4 @@
-"""Lines out of a stream of bytes, free of I/O and bounded."""
+"""Splits a byte stream into lines of bounded length. Does no I/O."""
 
 from dataclasses import dataclass, field
 
@@ -8,10 +8,10 @@
 
 
 @dataclass(slots=True)
-class Lines:
-    """Cuts a stream at its line feeds. `most` is the longest line, in bytes."""
+class LineReader:
+    """Cuts a stream at its line feeds. `max_line_bytes` bounds one line, without its line feed."""
 
-    most: int
+    max_line_bytes: int
     _rest: bytearray = field(default_factory=bytearray)
 
     def feed(self, data: bytes) -> list[bytes]:
@@ -20,9 +20,11 @@
         if whole:
             whole[0] = bytes(self._rest) + whole[0]
             self._rest.clear()
-        if len(self._rest) + len(rest) > self.most or any(len(line) > self.most for line in whole):
+        if len(self._rest) + len(rest) > self.max_line_bytes or any(
+            len(line) > self.max_line_bytes for line in whole
+        ):
             self._rest.clear()
-            raise UnreadableError(f"a line of more than {self.most} bytes")
+            raise UnreadableError(f"a line of more than {self.max_line_bytes} bytes")
         self._rest += rest
         return whole
 
--- a/ponddoor/node/process.py
+++ b/ponddoor/node/process.py
@@ -24,7 +24,7 @@
 from ponddoor.node.descriptors import DescriptorReserve, MemoryGauge
 from ponddoor.node.early import EarlySignal
 from ponddoor.node.servers import Servers
-from ponddoor.node.start import Place, StartError, read
+from ponddoor.node.start import NodeSettings, StartError, read_settings
 from ponddoor.node.viewers import Viewers
 from ponddoor.node.words import Words
 from ponddoor.obligations.drain import DrainPhase, DrainSchedule
@@ -45,11 +45,13 @@
 class Node:
     """Assembles a node; `run` until it is told to end."""
 
-    def __init__(self, place: Place, watched: bool = False) -> None:
+    def __init__(self, place: NodeSettings, watched: bool = False) -> None:
         """With `watched` the log tells what is believed of each server, at each look."""
         self.watched = watched
         bound = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
-        self.sockets = min(place.sockets, bound) if bound != resource.RLIM_INFINITY else place.sockets
+        self.sockets = (
+            min(place.socket_limit, bound) if bound != resource.RLIM_INFINITY else place.socket_limit
+        )
         self.place, now = place, clock()
         facts = replace(place.facts, wall=time.time_ns() // 1000 - now)
         limits = Limits(
@@ -105,7 +107,7 @@
         """Follow the board that the file names now. A file that can't be used changes nothing."""
         self.reserve.release()
         try:
-            board = read(path).board
+            board = read_settings(path).board
         except StartError as problem:
             log.error("reload-refused", why=str(problem))
             return
@@ -142,7 +144,7 @@
             self.reload(path)
         for one in early:
             if one.number in (signal.SIGTERM, signal.SIGINT):
-                self.end(one.came_at_ns // 1000)
+                self.end(one.received_at_ns // 1000)
 
     async def run(self, path: Path, early: Sequence[EarlySignal] = ()) -> None:
         """Serve until SIGTERM and the end of the drain. Raises OSError where an address can't be had."""
@@ -154,7 +156,7 @@
         self._follow_signals(path, early)
         await self.viewers.start(*self.place.listen)
         self.viewers.ready = True
-        log.debug("facts", facts=self.place.facts, limits=self.place.sockets)
+        log.debug("facts", facts=self.place.facts, limits=self.place.socket_limit)
         self.reserve.refill()
         memory_kb = self.memory.kilobytes()
         log.info("node-started", name=self.place.name, me=self.place.facts.me, memory_kb=memory_kb)
@@ -178,7 +180,7 @@
             await within(max(due - clock(), 0) / SECOND, self._told_to_end.wait())
 
     def _look(self, now: int) -> None:
-        self.servers.look(now, min(IDLE_LIMIT, 2 * self.place.server_idle // 3))
+        self.servers.look(now, min(IDLE_LIMIT, 2 * self.place.server_idle_timeout_us // 3))
         self.viewers.look(now)
         self.reserve.refill()
 
@@ -211,7 +213,7 @@
             lag_us=self._most_lag, memory_kb=self.memory.kilobytes(),
             faults=counts.faults, answers=counts.answers, setups=counts.setups, stray=counts.stray,
             viewers_seen=viewers.counts, servers_seen=servers.counts,
-            session_lines_left_out=viewers.session_log.left_out,
+            session_lines_left_out=viewers.session_log.lines_dropped,
             leases=servers.leases(clock()), words=self.words.told, words_lost=self.words.lost,
             board_breaks=self.board.breaks,
             board_losses=self.board.schedule.losses, board_age_ms=self.board.schedule.age(clock()) // 1000,
--- a/ponddoor/node/server_connection.py
+++ b/ponddoor/node/server_connection.py
@@ -7,7 +7,7 @@
 
 from ponddoor.front.pump import SECOND, clock
 from ponddoor.node import server_codec as codec
-from ponddoor.node.lines import Lines, UnreadableError
+from ponddoor.node.lines import LineReader, UnreadableError
 
 OF_USE_AFTER = SECOND  # a connection that ends sooner, and on which nothing was heard, has failed
 RELEASE_SETTLED = SECOND  # a release on a connection that is open so long after has been read, if it is sound
@@ -44,7 +44,7 @@
     released on it that the server has not acknowledged."""
 
     def __init__(self, owner: ConnectionOwner) -> None:
-        self.owner, self.lines = owner, Lines(codec.MOST)
+        self.owner, self.lines = owner, LineReader(codec.MOST)
         self.number = next(_numbers)  # of this process, for the log
         self.transport: asyncio.Transport | None = None
         self.setups: dict[str, SetupOut] = {}
--- a/ponddoor/node/serving.py
+++ b/ponddoor/node/serving.py
@@ -11,7 +11,7 @@
 from ponddoor.node.descriptors import LogStream
 from ponddoor.node.early import EarlySignal
 from ponddoor.node.process import Node
-from ponddoor.node.start import StartError, told
+from ponddoor.node.start import StartError, read_environment
 
 
 def serve(environment: Mapping[str, str], early: list[EarlySignal]) -> int:
@@ -28,7 +28,7 @@
         logger_factory=structlog.PrintLoggerFactory(cast(TextIO, LogStream(sys.stderr))),
     )
     try:
-        path, place = told(environment)
+        path, place = read_environment(environment)
         node = Node(place, watched=level == 10)
     except StartError as problem:
         print(f"ponddoor.node: {problem}", file=sys.stderr)
--- a/ponddoor/node/session_log.py
+++ b/ponddoor/node/session_log.py
@@ -9,7 +9,7 @@
 from ponddoor.front.pump import SECOND, clock
 from ponddoor.node.board_codec import id_of
 
-MOST_LINES_A_SECOND = 100
+MAX_LINES_PER_SECOND = 100
 log = structlog.get_logger("sessions")
 
 
@@ -17,19 +17,19 @@
 class SessionLog:
     """Writes a bounded number of lines in each second, and counts those that it leaves out."""
 
-    left_out: int = 0
+    lines_dropped: int = 0
     _second: int = 0
     _lines: int = 0
 
-    def stands(self, session: str, server: int, connection: int) -> None:
+    def session_standing(self, session: str, server: int, connection: int) -> None:
         """A set-up was answered: the session stands. `connection` is the viewer's."""
         self._write("session-stands", session, server=id_of(server), viewer_connection=connection)
 
-    def over(self, session: str, why: str) -> None:
+    def session_over(self, session: str, why: str) -> None:
         """A session that stood is over."""
         self._write("session-over", session, why=why)
 
-    def released(self, session: str, connection: int, again: bool) -> None:
+    def session_released(self, session: str, connection: int, again: bool) -> None:
         """Its release was written to a viewer's connection."""
         self._write("session-released", session, viewer_connection=connection, again=again)
 
@@ -38,7 +38,7 @@
         if second != self._second:
             self._second, self._lines = second, 0
         self._lines += 1
-        if self._lines > MOST_LINES_A_SECOND:
-            self.left_out += 1
+        if self._lines > MAX_LINES_PER_SECOND:
+            self.lines_dropped += 1
         else:
             log.info(event, session=session, **more)
--- a/ponddoor/node/start.py
+++ b/ponddoor/node/start.py
@@ -48,36 +48,36 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Place:
+class NodeSettings:
     """One node's place on the platform. `peers` are all fronts' addresses by number, our own among them."""
 
     name: str
     listen: Address
-    sockets: int
-    server_idle: int  # us after which servers close an idle connection
+    socket_limit: int
+    server_idle_timeout_us: int  # servers close a connection that has been idle for this long
     facts: SiteFacts
     zones: tuple[str, ...]
     kinds: tuple[str, ...]
     board: Address
-    known: tuple[ListMessage, ...]
+    known_notices: tuple[ListMessage, ...]
     peer_listen: Address | None
     peers: tuple[Address, ...]
     peers_all: Address | None
 
 
-def told(environment: Mapping[str, str]) -> tuple[Path, Place]:
+def read_environment(environment: Mapping[str, str]) -> tuple[Path, NodeSettings]:
     """The file's path and what it says. Raises StartError."""
     for name in (_NAME, _LISTEN, _FILE):
         if not environment.get(name):
             raise StartError(f"the variable {name} is missing")
     path = Path(environment[_FILE])
-    place = read(path)
-    if place.listen != address(environment[_LISTEN], _LISTEN):
+    settings = read_settings(path)
+    if settings.listen != parse_address(environment[_LISTEN], _LISTEN):
         raise StartError(f"{_LISTEN} is {environment[_LISTEN]}, listen in {path} differs")
-    return path, place
+    return path, settings
 
 
-def read(path: Path) -> Place:
+def read_settings(path: Path) -> NodeSettings:
     """What the file says. Raises StartError."""
     try:
         raw = msgspec.json.decode(path.read_bytes(), type=_File)
@@ -85,22 +85,22 @@
         zones, kinds = list_names(bytes(raw.settings))
         idle = micros(msgspec.json.decode(raw.settings, type=_Settings).permissions.idle_ms)
         known = tuple(board_codec.known(msgspec.json.decode(raw.known)))
-        peers = tuple(address(text, "peers") for text in raw.peers)
+        peers = tuple(parse_address(text, "peers") for text in raw.peers)
         if raw.limits.sockets < 64:
             raise StartError(f"sockets is {raw.limits.sockets}, 64 at least are needed")
-        return Place(
+        return NodeSettings(
             raw.name,
-            address(raw.listen, "listen"),
+            parse_address(raw.listen, "listen"),
             raw.limits.sockets,
             idle,
             facts,
             zones,
             kinds,
-            address(raw.board, "board"),
+            parse_address(raw.board, "board"),
             known,
-            address(raw.peer_listen, "peer_listen") if raw.peer_listen else None,
+            parse_address(raw.peer_listen, "peer_listen") if raw.peer_listen else None,
             peers,
-            address(raw.peers_all, "peers_all") if raw.peers_all else None,
+            parse_address(raw.peers_all, "peers_all") if raw.peers_all else None,
         )
     except OSError as problem:
         raise StartError(f"{path}: {problem.strerror}") from None
@@ -108,7 +108,7 @@
         raise StartError(f"{path}: {' '.join(str(problem).split())[:300]}") from None
 
 
-def address(text: str, what: str) -> Address:
+def parse_address(text: str, what: str) -> Address:
     """A host and a port. Raises StartError."""
     host, _, port = text.rpartition(":")
     if not host or not port.isdigit() or not 0 < int(port) < 65536:
--- a/ponddoor/node/viewer_codec.py
+++ b/ponddoor/node/viewer_codec.py
@@ -9,7 +9,7 @@
 
 from ponddoor.node.lines import UnreadableError
 
-MOST = 16_384  # bytes of a message
+MAX_MESSAGE_BYTES = 16_384  # bytes of a message
 _LONGEST_WAIT = 3_600_000.0  # ms
 _HEAD, _PARAMETER = struct.Struct(">HBQ"), struct.Struct(">BH")
 _ASK, _PROGRESS, _ANSWER, _RELEASE, _HEARD, _NOTE, _MOVE, _TEST, _TESTED = 1, 6, 9, 12, 16, 44, 51, 52, 53
@@ -20,7 +20,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Asked:
+class SetupRequest:
     """A viewer wants a session, or (with `at`) has one at that server. Times in microseconds."""
 
     sess: str
@@ -38,7 +38,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Unusable:
+class UnusableRequest:
     """A request that can be read and not used."""
 
     sess: str
@@ -46,27 +46,27 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ended:
+class Release:
     """A viewer is done: with waiting, or with a session that stands."""
 
     sess: str
 
 
 @dataclass(frozen=True, slots=True)
-class Tested:
+class ReadinessTest:
     """Somebody asks whether this front can place."""
 
     sess: str
 
 
 @dataclass(frozen=True, slots=True)
-class Heard:
+class ReleaseAck:
     """A viewer acknowledges a release."""
 
     sess: str
 
 
-Message = Asked | Unusable | Ended | Tested | Heard
+Message = SetupRequest | UnusableRequest | Release | ReadinessTest | ReleaseAck
 
 
 @dataclass(slots=True)
@@ -84,7 +84,7 @@
         try:
             while len(self._rest) - at >= 2:
                 size = int.from_bytes(self._rest[at : at + 2])
-                if not _HEAD.size - 2 <= size <= MOST - 2:
+                if not _HEAD.size - 2 <= size <= MAX_MESSAGE_BYTES - 2:
                     raise UnreadableError(f"a message of {size} bytes")
                 if len(self._rest) - at - 2 < size:
                     break
@@ -119,17 +119,17 @@
     if kind == _ASK:
         return _asked(sess, parameters)
     if kind == _RELEASE:
-        return Ended(sess)
+        return Release(sess)
     if kind == _TEST:
-        return Tested(sess)
+        return ReadinessTest(sess)
     if kind == _HEARD:
-        return Heard(sess)
+        return ReleaseAck(sess)
     if kind not in _FREE:
         raise UnreadableError(f"a message of type {kind}")
     return None
 
 
-def _asked(sess: str, parameters: dict[int, bytes]) -> Asked | Unusable:
+def _asked(sess: str, parameters: dict[int, bytes]) -> SetupRequest | UnusableRequest:
     try:
         text = {code: value.decode() for code, value in parameters.items() if code != _CAUSE}
         more = dict(part.split(":", 1) for part in text.get(_MORE, "").split(";") if part)
@@ -141,7 +141,7 @@
         if not wait and not at:
             raise ValueError("no time to wait")
         int(text[_TITLE], 16)
-        return Asked(
+        return SetupRequest(
             sess,
             text[_GROUP],
             round(wait * 1000),
@@ -156,7 +156,7 @@
             text.get(_DESCRIPTION, ""),
         )
     except (ValueError, KeyError) as problem:
-        return Unusable(sess, f"{type(problem).__name__}: {str(problem)[:100]}")
+        return UnusableRequest(sess, f"{type(problem).__name__}: {str(problem)[:100]}")
 
 
 def _number(text: str, least: float, most: float) -> float:
@@ -166,33 +166,33 @@
     return value
 
 
-def stands(sess: str, description: str) -> bytes:
+def encode_playing(sess: str, description: str) -> bytes:
     """The session plays; the description is the server's."""
     return _message(_ANSWER, sess, (_DESCRIPTION, description.encode()))
 
 
-def busy(sess: str, come_back: int) -> bytes:
+def encode_busy(sess: str, come_back: int) -> bytes:
     """Turned away, trying again is harmless; with the time after which to come back (us), if there is one."""
     advice = ((_COME_BACK, str(come_back // 1000).encode()),) if come_back > 0 else ()
     return _message(_RELEASE, sess, (_CAUSE, bytes([_BUSY])), *advice)
 
 
-def failed(sess: str) -> bytes:
+def encode_failed(sess: str) -> bytes:
     """Torn down before it played."""
     return _message(_RELEASE, sess, (_CAUSE, bytes([_FAILED])))
 
 
-def over(sess: str, lost: bool) -> bytes:
+def encode_ended(sess: str, lost: bool) -> bytes:
     """A session that stood is over: it came to its end, or was cut."""
     return _message(_RELEASE, sess, (_CAUSE, bytes([_LOST if lost else _OVER])))
 
 
-def moved(sess: str) -> bytes:
+def encode_moved(sess: str) -> bytes:
     """A session that stood ends here, and the viewer comes again."""
     return _message(_MOVE, sess)
 
 
-def tested(sess: str, passed: bool) -> bytes:
+def encode_test_result(sess: str, passed: bool) -> bytes:
     return _message(_TESTED, sess, (_CAUSE, bytes([passed])))
 
 
--- a/ponddoor/node/viewers.py
+++ b/ponddoor/node/viewers.py
@@ -173,17 +173,17 @@
         self._used(connection)
         log.debug("viewer-says", connection=connection.number, said=message)
         match message:
-            case codec.Asked():
+            case codec.SetupRequest():
                 self._asked(connection, message)
-            case codec.Unusable(session, why):
+            case codec.UnusableRequest(session, why):
                 self._unusable(connection, session, why)
-            case codec.Ended(session):
+            case codec.Release(session):
                 self._viewer_ends(connection, session)
-            case codec.Heard(session):
+            case codec.ReleaseAck(session):
                 self.sessions.acknowledged(clock(), session)
-            case codec.Tested(session):
+            case codec.ReadinessTest(session):
                 connection.proven = True
-                connection.write(codec.tested(session, self.ready))
+                connection.write(codec.encode_test_result(session, self.ready))
 
     def _viewer_ends(self, connection: ViewerConnection, session: str) -> None:
         """A set-up is given up on its own connection alone, lest a stranger give up another's: nobody would
@@ -194,14 +194,14 @@
         if phase is None or phase is Phase.RELEASING:
             return
         if phase is Phase.STANDING:
-            self.session_log.over(session, "ended by its viewer")
+            self.session_log.session_over(session, "ended by its viewer")
         connection.proven = True
         if phase is Phase.RECEIVED:
             self.count("taken-back")
         else:
             self._withdraw(session)
 
-    def _asked(self, connection: ViewerConnection, asked: codec.Asked) -> None:
+    def _asked(self, connection: ViewerConnection, asked: codec.SetupRequest) -> None:
         plant, ladder = self.engine.facts.plant, self.engine.facts.ladder
         usable = (
             asked.group in self.groups
@@ -239,7 +239,7 @@
             return
         plays = self.sessions.hand_over(clock(), session, connection)
         self._used(connection)
-        self.session_log.stands(session, server, connection.number)
+        self.session_log.session_standing(session, server, connection.number)
         self.apply(lambda now: self.engine.handed_over(now, session, ask, server))
         self.attend(server)
         if not plays:  # its viewer has ended it already, on another connection
@@ -282,7 +282,7 @@
             if not self.sessions.is_open_on(first):
                 self.close_connection(first, "closed-for-id")
         elif self.sessions.is_open_on(connection):
-            connection.write(codec.failed(session))
+            connection.write(codec.encode_failed(session))
         else:
             self.close_connection(connection, "closed-for-id")
 
@@ -293,7 +293,7 @@
             self.count("taken-back")
         else:
             self._withdraw(session)
-        connection.write(codec.failed(session))
+        connection.write(codec.encode_failed(session))
 
     def _unusable(self, connection: ViewerConnection, session: str, why: str) -> None:
         self.count("unusable")
@@ -302,7 +302,7 @@
         if self._known(session):
             self._again(connection, session)
         else:
-            connection.write(codec.failed(session))
+            connection.write(codec.encode_failed(session))
 
     # What the engine wants
 
@@ -313,14 +313,14 @@
             case fx.Reply(session, answer):
                 self._reply(session, answer)
             case fx.Push(session, "ended", "viewer-gone"):
-                self.session_log.over(session, "viewer-gone")
+                self.session_log.session_over(session, "viewer-gone")
                 self.sessions.end_silently(clock(), session)
             case fx.Push(session, "ended", why):
-                self.session_log.over(session, str(why))
-                self._release(session, codec.over(session, why == "lost"))
+                self.session_log.session_over(session, str(why))
+                self._release(session, codec.encode_ended(session, why == "lost"))
             case fx.Push(session, "moved"):
-                self.session_log.over(session, "moved")
-                self._release(session, codec.moved(session), acknowledged=False)
+                self.session_log.session_over(session, "moved")
+                self._release(session, codec.encode_moved(session), acknowledged=False)
 
     def _reply(self, session: str, answer: Answer) -> None:
         connection = self.sessions.answer(clock(), session, answer.kind == "playing")
@@ -332,12 +332,14 @@
                 connection.trusted = True
                 self._used(connection)
                 held = self.engine.find(session)
-                self.session_log.stands(session, -1 if held is None else held.server, connection.number)
-                connection.write(codec.stands(session, answer.passed))
+                self.session_log.session_standing(
+                    session, -1 if held is None else held.server, connection.number
+                )
+                connection.write(codec.encode_playing(session, answer.passed))
             case "busy":
-                connection.write(codec.busy(session, answer.come_back))
+                connection.write(codec.encode_busy(session, answer.come_back))
             case _:
-                connection.write(codec.failed(session))
+                connection.write(codec.encode_failed(session))
 
     # Releases
 
@@ -354,7 +356,9 @@
     def _write_release(self, connection: ViewerConnection, session: str, message: bytes) -> None:
         connection.write(message)
         record = self.sessions.find(session)
-        self.session_log.released(session, connection.number, record is not None and bool(record.tried))
+        self.session_log.session_released(
+            session, connection.number, record is not None and bool(record.tried)
+        )
         self.sessions.sent(clock(), session, connection)
 
     def _send_releases(self) -> None:
--- a/ponddoor/node/words.py
+++ b/ponddoor/node/words.py
@@ -7,7 +7,7 @@
 
 import structlog
 
-from ponddoor.node.start import Place
+from ponddoor.node.start import NodeSettings
 
 MOST = 256  # bytes of a datagram
 log = structlog.get_logger("words")
@@ -17,7 +17,7 @@
 class Words(asyncio.DatagramProtocol):
     """Sends and receives words. What can't be sent, or comes from elsewhere, is lost and counted."""
 
-    place: Place
+    place: NodeSettings
     heard: Callable[[int, bytes], None]
     told: int = 0
     lost: int = 0
--- a/ponddoor/standins/platform.py
+++ b/ponddoor/standins/platform.py
@@ -19,7 +19,7 @@
 from ponddoor.audit.records import Recorder
 from ponddoor.front.pump import SECOND, clock
 from ponddoor.front.roster import Entry
-from ponddoor.node.lines import Lines, UnreadableError
+from ponddoor.node.lines import LineReader, UnreadableError
 from ponddoor.platform.facts import as_settings
 from ponddoor.rehearse.day import Day, Viewer, draw
 from ponddoor.standins.capacity import Capacity, Verdict
@@ -223,7 +223,7 @@
     """One connection to a server."""
 
     def __init__(self, box: Box) -> None:
-        self.box, self.lines, self.front = box, Lines(16_384), -1
+        self.box, self.lines, self.front = box, LineReader(16_384), -1
         self.transport: asyncio.Transport | None = None
         self.pending: dict[str, tuple[int, asyncio.TimerHandle]] = {}
 
--- a/tests/node/conftest.py
+++ b/tests/node/conftest.py
@@ -21,7 +21,7 @@
 from ponddoor.node import server_link as node_server_link
 from ponddoor.node import viewers as node_viewers
 from ponddoor.node.process import Node
-from ponddoor.node.start import read
+from ponddoor.node.start import read_settings
 from ponddoor.obligations import drain, lease
 from ponddoor.rehearse.run import free_ports
 from ponddoor.web.timing import within
@@ -190,7 +190,7 @@
             await self.box(number)
         await self.board("b")
         self.write_file("b")
-        self.node = Node(read(self.path))
+        self.node = Node(read_settings(self.path))
         self.task = asyncio.create_task(self.node.run(self.path))
         self.started = True
         while not self.node.viewers.ready:
--- a/tests/node/test_codecs.py
+++ b/tests/node/test_codecs.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 
 from ponddoor.node import board_codec, server_codec, viewer_codec
-from ponddoor.node.lines import Lines, UnreadableError
+from ponddoor.node.lines import LineReader, UnreadableError
 
 from .conftest import message, parameter, set_up
 
@@ -60,15 +60,15 @@
         found += got
         if why:
             break
-        assert len(reader._rest) <= viewer_codec.MOST
+        assert len(reader._rest) <= viewer_codec.MAX_MESSAGE_BYTES
     assert (found, bool(why)) == (whole, bool(problem))
 
 
 @given(st.lists(st.one_of(LINES, st.binary(max_size=60)), max_size=6), CUTS)
 def test_lines_in_any_pieces(rows: list[bytes], sizes: list[int]) -> None:
     data = b"\n".join(rows)
-    whole = Lines(20_000).feed(data)
-    lines, found = Lines(20_000), list[bytes]()
+    whole = LineReader(20_000).feed(data)
+    lines, found = LineReader(20_000), list[bytes]()
     for piece in cut(data, sizes):
         found += lines.feed(piece)
     assert found == whole == data.split(b"\n")[:-1]
@@ -80,7 +80,7 @@
 
 @pytest.mark.parametrize("pieces", [[b"x" * 101], [b"x" * 60, b"x" * 60], [b"x" * 101 + b"\n"]])
 def test_a_line_without_an_end_is_not_kept(pieces: list[bytes]) -> None:
-    lines = Lines(100)
+    lines = LineReader(100)
     with pytest.raises(UnreadableError):
         for piece in pieces:
             lines.feed(piece)
@@ -89,7 +89,7 @@
 
 def test_what_a_viewer_asks() -> None:
     (got,), why = viewer_codec.Reader().feed(set_up("1", at="s-00c41f7a", say="a\r\n\u00e9"))
-    assert isinstance(got, viewer_codec.Asked) and not why
+    assert isinstance(got, viewer_codec.SetupRequest) and not why
     assert (got.sess, got.home, got.span, got.top, got.description) == (
         "0000000000abc001",
         0,
--- a/tests/node/test_session_log.py
+++ b/tests/node/test_session_log.py
@@ -10,7 +10,7 @@
 from ponddoor.cli import main
 from ponddoor.front.pump import SECOND
 from ponddoor.node import session_log
-from ponddoor.node.session_log import MOST_LINES_A_SECOND, SessionLog
+from ponddoor.node.session_log import MAX_LINES_PER_SECOND, SessionLog
 
 SESSION = "510a5b97911b1731"
 
@@ -25,11 +25,11 @@
     monkeypatch.setattr(session_log, "clock", lambda: at[0])
     written = SessionLog()
     with capture_logs() as lines:
-        for _ in range(MOST_LINES_A_SECOND + 5):
-            written.stands(SESSION, 0x2851A7E9, 1)
+        for _ in range(MAX_LINES_PER_SECOND + 5):
+            written.session_standing(SESSION, 0x2851A7E9, 1)
         at[0] += SECOND
-        written.stands(SESSION, 0x2851A7E9, 1)
-    assert (len(lines), written.left_out) == (MOST_LINES_A_SECOND + 1, 5)
+        written.session_standing(SESSION, 0x2851A7E9, 1)
+    assert (len(lines), written.lines_dropped) == (MAX_LINES_PER_SECOND + 1, 5)
     assert lines[0]["server"] == "s-2851a7e9" and lines[0]["session"] == SESSION
 
 
