--- a/ponddoor/node/board.py
+++ b/ponddoor/node/board.py
@@ -16,8 +16,8 @@
 from ponddoor.interface import events as ev
 from ponddoor.node import board_codec
 from ponddoor.node.descriptors import DescriptorReserve, is_resource_exhaustion
-from ponddoor.node.lines import Lines, UnreadableError
-from ponddoor.node.start import Address, Place
+from ponddoor.node.lines import LineReader, UnreadableError
+from ponddoor.node.start import Address, NodeSettings
 from ponddoor.web.connecting import connect_within
 from ponddoor.web.timing import read_within
 
@@ -48,9 +48,9 @@
     _rows: deque[ev.ServerRow] = field(default_factory=deque)  # told, and not yet fed to the engine
     _feeding: bool = False
 
-    def start(self, place: Place) -> None:
+    def start(self, place: NodeSettings) -> None:
         """The list of the start, then what follows."""
-        for message in place.known:
+        for message in place.known_notices:
             self.roster.take(message)
         known = self.roster.all()
         self.learned(known)
@@ -96,7 +96,7 @@
         try:
             writer.write(board_codec.encode_watch(self.roster.version))
             asyncio.get_running_loop().call_later(CATCH_UP_S, self.asked)
-            lines, due = Lines(board_codec.MAX_LINE_BYTES), clock() + int(SILENCE_TIMEOUT_S * SECOND)
+            lines, due = LineReader(board_codec.MAX_LINE_BYTES), clock() + int(SILENCE_TIMEOUT_S * SECOND)
             # Only what is whole is a sign: a board that stopped in a line, or drips, tells nothing
             while data := await read_within(max(due - clock(), 0) / SECOND, reader, 65_536):
                 for line in lines.feed(data):
