--- a/ponddoor/world.py
+++ b/ponddoor/world.py
@@ -85,7 +85,8 @@
 
     `clock_rate` is how fast its clock runs, relative to virtual time. `life` counts its starts, so that
     callbacks of a process that has crashed since can be ignored. `last_record_at_start` is the number of the
-    journal's last record when this process started: the record numbers that its core uses count from there."""
+    journal's last record when this process started: the record numbers that its core uses count from
+    there."""
 
     number: int
     clock_rate: float
--- a/tests/many_servers/test_same_decisions.py
+++ b/tests/many_servers/test_same_decisions.py
@@ -1,9 +1,9 @@
-"""The decisions over randomly generated days are, action for action, those recorded before the server table had
-indices (commit f396c5c).
+"""The decisions over randomly generated days are, action for action, those recorded before the server table
+had indices (commit f396c5c).
 
-The digests cover the text of each action with its class and field names. When SetTimer.due, SendPeerMessage and
-FetchServers were renamed, the digests were recorded anew, after a check that with the former names in the texts
-all 30 equal those of f396c5c."""
+The digests cover the text of each action with its class and field names. When SetTimer.due, SendPeerMessage
+and FetchServers were renamed, the digests were recorded anew, after a check that with the former names in the
+texts all 30 equal those of f396c5c."""
 
 import json
 from pathlib import Path
