--- a/ponddoor/node/process.py
+++ b/ponddoor/node/process.py
@@ -87,8 +87,8 @@
     def _learned(self, change: ListChange) -> None:
         self.servers.apply_list_change(change)
         left, part = self.sockets - SPARE_DESCRIPTORS, self.sockets // VIEWERS_SHARE
-        self.viewers.most = max(left - len(self.servers.links), part)
-        self.servers.max_connections = max(left - self.viewers.most, part)
+        self.viewers.max_connections = max(left - len(self.servers.links), part)
+        self.servers.max_connections = max(left - self.viewers.max_connections, part)
 
     def _carry_out(self, effect: Effect) -> None:
         match effect:
@@ -183,7 +183,7 @@
 
     def _look(self, now: int) -> None:
         self.servers.tick(now, min(IDLE_LIMIT, 2 * self.place.server_idle_timeout_us // 3))
-        self.viewers.look(now)
+        self.viewers.tick(now)
         self.reserve.refill()
 
     async def _end_by(self, drain: DrainSchedule) -> None:
@@ -193,7 +193,7 @@
             self._look(clock())
         log.info("drain-phase", phase="refusing", in_hand=self.engine.in_hand, held=self.engine.held)
         self.engine.gate.draining, self.viewers.ready = True, False
-        await self.viewers.accept_no_more(drain.answer_by)
+        await self.viewers.stop_accepting(drain.answer_by)
         while drain.phase(clock()) is DrainPhase.REFUSING and not self._nothing_left():
             self.viewers.close_idle()
             await asyncio.sleep(DRAIN_LOOK / SECOND)
@@ -204,7 +204,12 @@
     def _nothing_left(self) -> bool:
         """Whether nobody waits or plays, and nothing is left to be said."""
         viewers = self.viewers
-        return not (self.engine.held or viewers.busy or viewers.sessions.pending or self.servers.unsent)
+        return not (
+            self.engine.held
+            or viewers.has_unfinished_requests
+            or viewers.sessions.pending
+            or self.servers.unsent
+        )
 
     def _say(self) -> None:
         counts, viewers, servers = self.engine.counts, self.viewers, self.servers
--- a/ponddoor/node/viewer_codec.py
+++ b/ponddoor/node/viewer_codec.py
@@ -1,7 +1,7 @@
-"""The binary messages of viewers, free of I/O: the platform's page of the protocol has each.
+"""Decodes and encodes the binary messages of viewers. Does no I/O.
 
-A message is a length of two bytes, a type, a session of eight, and parameters of a code, a length and a
-value. Its words live here."""
+A message is a length (2 bytes), a type (1 byte), a session id (8 bytes) and parameters, each with a code, a
+length and a value. The platform's protocol page specifies each message. No other module knows the codes."""
 
 import math
 import struct
@@ -9,19 +9,42 @@
 
 from ponddoor.node.lines import UnreadableError
 
-MAX_MESSAGE_BYTES = 16_384  # bytes of a message
-_LONGEST_WAIT = 3_600_000.0  # ms
-_HEAD, _PARAMETER = struct.Struct(">HBQ"), struct.Struct(">BH")
-_ASK, _PROGRESS, _ANSWER, _RELEASE, _HEARD, _NOTE, _MOVE, _TEST, _TESTED = 1, 6, 9, 12, 16, 44, 51, 52, 53
-_FREE = frozenset((_PROGRESS, _NOTE, _TESTED))  # from viewers these mean nothing
-_GROUP, _WAIT, _AGAIN, _TITLE, _MORE, _COME_BACK, _LENGTH, _CAUSE, _DESCRIPTION = (
-    129, 130, 132, 133, 134, 135, 139, 143, 144)  # fmt: skip
-_OVER, _BUSY, _LOST, _FAILED = 16, 34, 41, 47
+MAX_MESSAGE_BYTES = 16_384
+_MAX_WAIT_MS = 3_600_000.0
+_HEADER = struct.Struct(">HBQ")
+_PARAMETER = struct.Struct(">BH")
+_TYPE_SETUP = 1
+_TYPE_PROGRESS = 6
+_TYPE_ANSWER = 9
+_TYPE_RELEASE = 12
+_TYPE_RELEASE_ACK = 16
+_TYPE_NOTE = 44
+_TYPE_MOVE = 51
+_TYPE_TEST = 52
+_TYPE_TEST_RESULT = 53
+_IGNORED_TYPES = frozenset(
+    (_TYPE_PROGRESS, _TYPE_NOTE, _TYPE_TEST_RESULT)
+)  # legal from a viewer, without effect
+_PARAM_GROUP = 129
+_PARAM_WAIT = 130
+_PARAM_AGAIN = 132
+_PARAM_TITLE = 133
+_PARAM_ATTRIBUTES = 134  # `name:value` pairs, separated by semicolons
+_PARAM_COME_BACK = 135
+_PARAM_LENGTH = 139
+_PARAM_CAUSE = 143
+_PARAM_DESCRIPTION = 144
+_CAUSE_ENDED = 16
+_CAUSE_BUSY = 34
+_CAUSE_LOST = 41
+_CAUSE_FAILED = 47
 
 
 @dataclass(frozen=True, slots=True)
 class SetupRequest:
-    """A viewer wants a session, or (with `at`) has one at that server. Times in microseconds."""
+    """A viewer requests a session or, if `server` is not empty, hands over one that plays on that server.
+
+    `wait` and `length` are in microseconds."""
 
     sess: str
     group: str
@@ -33,35 +56,35 @@
     viewer: int
     length: int | None
     again: bool
-    at: str
+    server: str
     description: str
 
 
 @dataclass(frozen=True, slots=True)
 class UnusableRequest:
-    """A request that can be read and not used."""
+    """A request that is well-formed but has a missing or invalid parameter."""
 
     sess: str
-    why: str
+    reason: str
 
 
 @dataclass(frozen=True, slots=True)
 class Release:
-    """A viewer is done: with waiting, or with a session that stands."""
+    """A viewer withdraws its request or ends its session."""
 
     sess: str
 
 
 @dataclass(frozen=True, slots=True)
 class ReadinessTest:
-    """Somebody asks whether this front can place."""
+    """Asks whether this front can place sessions."""
 
     sess: str
 
 
 @dataclass(frozen=True, slots=True)
 class ReleaseAck:
-    """A viewer acknowledges a release."""
+    """A viewer acknowledges a release that this front sent."""
 
     sess: str
 
@@ -71,131 +94,136 @@
 
 @dataclass(slots=True)
 class Reader:
-    """Decodes one connection's bytes; keeps no more than one message."""
+    """Decodes the bytes of one connection. Buffers at most one message."""
 
     _rest: bytearray = field(default_factory=bytearray)
 
     def feed(self, data: bytes) -> tuple[list[Message], str]:
-        """The messages that are whole now, and why nothing after them can be read (empty: all is well).
+        """Return the messages completed by `data`, and a protocol error (empty if there is none).
 
-        After such a word the connection is of no use: what comes later has no beginning."""
+        After an error the connection has to be closed: the start of the next message is not known."""
         self._rest += data
-        at, found = 0, []
+        position, messages = 0, []
         try:
-            while len(self._rest) - at >= 2:
-                size = int.from_bytes(self._rest[at : at + 2])
-                if not _HEAD.size - 2 <= size <= MAX_MESSAGE_BYTES - 2:
-                    raise UnreadableError(f"a message of {size} bytes")
-                if len(self._rest) - at - 2 < size:
+            while len(self._rest) - position >= 2:
+                size = int.from_bytes(self._rest[position : position + 2])
+                if not _HEADER.size - 2 <= size <= MAX_MESSAGE_BYTES - 2:
+                    raise UnreadableError(
+                        f"message length {size} is not between {_HEADER.size - 2} and {MAX_MESSAGE_BYTES - 2}"
+                    )
+                if len(self._rest) - position - 2 < size:
                     break
-                message = _read(bytes(self._rest[at : at + 2 + size]))
-                at += 2 + size
+                message = _decode(bytes(self._rest[position : position + 2 + size]))
+                position += 2 + size
                 if message is not None:
-                    found.append(message)
+                    messages.append(message)
         except UnreadableError as problem:
             self._rest.clear()
-            return found, str(problem)
-        del self._rest[:at]
-        return found, ""
+            return messages, str(problem)
+        del self._rest[:position]
+        return messages, ""
 
     @property
     def partial(self) -> bool:
-        """Whether a message has begun and not ended."""
+        """Whether a message has been received in part."""
         return bool(self._rest)
 
 
-def _read(message: bytes) -> Message | None:
-    _, kind, number = _HEAD.unpack_from(message)
-    sess, parameters, at = f"{number:016x}", dict[int, bytes](), _HEAD.size
-    while at < len(message):
-        if at + _PARAMETER.size > len(message):
-            raise UnreadableError("a parameter is cut short")
-        code, size = _PARAMETER.unpack_from(message, at)
-        at += _PARAMETER.size
-        if at + size > len(message):
-            raise UnreadableError(f"parameter {code}: {size} bytes told, {len(message) - at} there")
-        parameters[code] = message[at : at + size]
-        at += size
-    if kind == _ASK:
-        return _asked(sess, parameters)
-    if kind == _RELEASE:
+def _decode(message: bytes) -> Message | None:
+    _, kind, number = _HEADER.unpack_from(message)
+    sess, parameters, position = f"{number:016x}", dict[int, bytes](), _HEADER.size
+    while position < len(message):
+        if position + _PARAMETER.size > len(message):
+            raise UnreadableError("parameter header truncated")
+        code, size = _PARAMETER.unpack_from(message, position)
+        position += _PARAMETER.size
+        if position + size > len(message):
+            raise UnreadableError(
+                f"parameter {code} truncated: got {len(message) - position} of {size} bytes"
+            )
+        parameters[code] = message[position : position + size]
+        position += size
+    if kind == _TYPE_SETUP:
+        return _decode_setup(sess, parameters)
+    if kind == _TYPE_RELEASE:
         return Release(sess)
-    if kind == _TEST:
+    if kind == _TYPE_TEST:
         return ReadinessTest(sess)
-    if kind == _HEARD:
+    if kind == _TYPE_RELEASE_ACK:
         return ReleaseAck(sess)
-    if kind not in _FREE:
-        raise UnreadableError(f"a message of type {kind}")
+    if kind not in _IGNORED_TYPES:
+        raise UnreadableError(f"unknown message type {kind}")
     return None
 
 
-def _asked(sess: str, parameters: dict[int, bytes]) -> SetupRequest | UnusableRequest:
+def _decode_setup(sess: str, parameters: dict[int, bytes]) -> SetupRequest | UnusableRequest:
     try:
-        text = {code: value.decode() for code, value in parameters.items() if code != _CAUSE}
-        more = dict(part.split(":", 1) for part in text.get(_MORE, "").split(";") if part)
-        at = more.get("at", "")  # of a session that plays nobody waits for an answer
-        wait = 0.0 if at else _number(text[_WAIT], 0.0, _LONGEST_WAIT)
-        length = _number(text[_LENGTH], 0.0, 1e9) if _LENGTH in text else None
+        text = {code: value.decode() for code, value in parameters.items() if code != _PARAM_CAUSE}
+        attributes = dict(part.split(":", 1) for part in text.get(_PARAM_ATTRIBUTES, "").split(";") if part)
+        server = attributes.get("at", "")  # a session that is handed over plays already: nobody waits
+        wait = 0.0 if server else _parse_number(text[_PARAM_WAIT], 0.0, _MAX_WAIT_MS)
+        length = _parse_number(text[_PARAM_LENGTH], 0.0, 1e9) if _PARAM_LENGTH in text else None
         if not int(sess, 16):
-            raise ValueError("no id")
-        if not wait and not at:
-            raise ValueError("no time to wait")
-        int(text[_TITLE], 16)
+            raise ValueError("session id is zero")
+        if not wait and not server:
+            raise ValueError("wait time is zero")
+        int(text[_PARAM_TITLE], 16)
         return SetupRequest(
             sess,
-            text[_GROUP],
+            text[_PARAM_GROUP],
             round(wait * 1000),
-            text[_TITLE],
-            int(_number(more["home"], 0, 65535)),
-            int(_number(more["copies"], 1, 65535)),
-            int(_number(more["top"], 0, 255)),
-            int(more.get("viewer", "0"), 16) % 2**64,
+            text[_PARAM_TITLE],
+            int(_parse_number(attributes["home"], 0, 65535)),
+            int(_parse_number(attributes["copies"], 1, 65535)),
+            int(_parse_number(attributes["top"], 0, 255)),
+            int(attributes.get("viewer", "0"), 16) % 2**64,
             None if length is None else round(length * 1000),
-            _AGAIN in text or "again" in more,
-            at,
-            text.get(_DESCRIPTION, ""),
+            _PARAM_AGAIN in text or "again" in attributes,
+            server,
+            text.get(_PARAM_DESCRIPTION, ""),
         )
     except (ValueError, KeyError) as problem:
         return UnusableRequest(sess, f"{type(problem).__name__}: {str(problem)[:100]}")
 
 
-def _number(text: str, least: float, most: float) -> float:
+def _parse_number(text: str, least: float, most: float) -> float:
     value = float(text)
     if not math.isfinite(value) or not least <= value <= most:
-        raise ValueError(f"a figure of {text[:20]}")
+        raise ValueError(f"{text[:20]} is not between {least:.0f} and {most:.0f}")
     return value
 
 
 def encode_playing(sess: str, description: str) -> bytes:
-    """The session plays; the description is the server's."""
-    return _message(_ANSWER, sess, (_DESCRIPTION, description.encode()))
+    """The session plays. `description` is the media server's and is passed on unchanged."""
+    return _encode(_TYPE_ANSWER, sess, (_PARAM_DESCRIPTION, description.encode()))
 
 
 def encode_busy(sess: str, come_back: int) -> bytes:
-    """Turned away, trying again is harmless; with the time after which to come back (us), if there is one."""
-    advice = ((_COME_BACK, str(come_back // 1000).encode()),) if come_back > 0 else ()
-    return _message(_RELEASE, sess, (_CAUSE, bytes([_BUSY])), *advice)
+    """A busy-reply: the viewer may retry, after `come_back` microseconds if that is not zero."""
+    retry_after = ((_PARAM_COME_BACK, str(come_back // 1000).encode()),) if come_back > 0 else ()
+    return _encode(_TYPE_RELEASE, sess, (_PARAM_CAUSE, bytes([_CAUSE_BUSY])), *retry_after)
 
 
 def encode_failed(sess: str) -> bytes:
-    """Torn down before it played."""
-    return _message(_RELEASE, sess, (_CAUSE, bytes([_FAILED])))
+    """The request failed: the session is torn down before it played."""
+    return _encode(_TYPE_RELEASE, sess, (_PARAM_CAUSE, bytes([_CAUSE_FAILED])))
 
 
 def encode_ended(sess: str, lost: bool) -> bytes:
-    """A session that stood is over: it came to its end, or was cut."""
-    return _message(_RELEASE, sess, (_CAUSE, bytes([_LOST if lost else _OVER])))
+    """A session that played is over: it was lost, or ended at its server."""
+    return _encode(_TYPE_RELEASE, sess, (_PARAM_CAUSE, bytes([_CAUSE_LOST if lost else _CAUSE_ENDED])))
 
 
 def encode_moved(sess: str) -> bytes:
-    """A session that stood ends here, and the viewer comes again."""
-    return _message(_MOVE, sess)
+    """A session that played ends here, and the viewer is to request it again."""
+    return _encode(_TYPE_MOVE, sess)
 
 
 def encode_test_result(sess: str, passed: bool) -> bytes:
-    return _message(_TESTED, sess, (_CAUSE, bytes([passed])))
+    """The reply to a readiness test."""
+    return _encode(_TYPE_TEST_RESULT, sess, (_PARAM_CAUSE, bytes([passed])))
 
 
-def _message(kind: int, sess: str, *parameters: tuple[int, bytes]) -> bytes:
+def _encode(kind: int, sess: str, *parameters: tuple[int, bytes]) -> bytes:
     body = b"".join(_PARAMETER.pack(code, len(value)) + value for code, value in parameters)
-    return _HEAD.pack(_HEAD.size - 2 + len(body), kind, int(sess, 16)) + body
+    return _HEADER.pack(_HEADER.size - 2 + len(body), kind, int(sess, 16)) + body
--- a/ponddoor/node/viewer_connection.py
+++ b/ponddoor/node/viewer_connection.py
@@ -1,4 +1,4 @@
-"""One connection of viewers, and which connections make room for others."""
+"""One connection from viewers, and the table that decides which connection is evicted for a new one."""
 
 import asyncio
 import itertools
@@ -11,41 +11,43 @@
 from ponddoor.front.pump import SECOND, clock
 from ponddoor.node import viewer_codec as codec
 
-PARTIAL_MESSAGE_LIMIT = 3 * SECOND // 2  # a message that has begun has so long to end
-SILENT_LIMIT = 2 * SECOND  # a connection that has brought nothing of use so long after it opened is closed
-NEW_FOR = SECOND // 4  # so long a new connection has to bring something before it makes room for others
-WRITE_BUFFER_LIMIT = 1 << 18  # bytes that a viewer may leave unread
-LINGER = SECOND  # a viewer may need so long to read what was written, before a close that would destroy it
+PARTIAL_MESSAGE_TIMEOUT_US = 3 * SECOND // 2  # from the first byte of a message to its last
+SILENT_CONNECTION_TIMEOUT_US = 2 * SECOND  # for a connection that has sent no valid message since it opened
+NEW_CONNECTION_GRACE_US = SECOND // 4  # a connection younger than this is evicted after older ones
+WRITE_BUFFER_LIMIT_BYTES = 1 << 18  # a viewer that leaves more unread is disconnected
+LINGER_TIMEOUT_US = SECOND  # how long a viewer has to read what was written before its connection is closed
 log = structlog.get_logger("viewers")
 _numbers = itertools.count(1)
 
 
 class Handler(Protocol):
-    """What a connection tells of itself."""
+    """Receives the events of a connection."""
 
-    def opened(self, connection: "ViewerConnection") -> None:
-        """It has been accepted."""
+    def connection_opened(self, connection: "ViewerConnection") -> None:
+        """The connection has been accepted."""
 
-    def take(self, connection: "ViewerConnection", message: codec.Message) -> None:
-        """A whole message has come."""
+    def message_received(self, connection: "ViewerConnection", message: codec.Message) -> None:
+        """A message has been received completely."""
 
-    def request_close(self, connection: "ViewerConnection", why: str) -> None:
-        """It is of no use any more."""
+    def request_close(self, connection: "ViewerConnection", reason: str) -> None:
+        """Nothing more can be read from the connection, and it has to be closed."""
 
-    def closed(self, connection: "ViewerConnection") -> None:
-        """It is gone."""
+    def connection_closed(self, connection: "ViewerConnection") -> None:
+        """The connection has ended."""
 
-    def count(self, what: str) -> None:
-        """Count what happened."""
+    def count(self, event: str) -> None:
+        """Increment the counter of `event`."""
 
 
 class ViewerConnection(asyncio.Protocol):
-    """Reads messages off one connection and writes to it. `proven` once something of use came, `trusted` once
-    a session came by it."""
+    """Decodes messages from one connection and writes to it.
+
+    `proven` is set once a valid message was received, `trusted` once a session was placed for a request from
+    this connection."""
 
     def __init__(self, handler: Handler) -> None:
         self.handler, self.reader = handler, codec.Reader()
-        self.number = next(_numbers)  # of this process, for the log
+        self.number = next(_numbers)  # identifies the connection in the log of this process
         self.transport: asyncio.Transport | None = None
         self.opened_at = clock()
         self.proven = self.trusted = self.finishing = False
@@ -54,46 +56,50 @@
 
     @property
     def open(self) -> bool:
-        """Whether what is written to it may still arrive."""
+        """Whether data written to the connection can still reach the viewer."""
         return self.transport is not None and not self.finishing and not self.transport.is_closing()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
-        self.handler.opened(self)
+        self.handler.connection_opened(self)
 
     def data_received(self, data: bytes) -> None:
         if self.finishing:
             return
-        messages, why = self.reader.feed(data)
+        messages, error = self.reader.feed(data)
         for message in messages:
             if not self.open:
                 return
-            self.handler.take(self, message)
+            self.handler.message_received(self, message)
         now = clock()
-        if why:
+        if error:
             self.handler.request_close(self, "unreadable")
-        if messages or not self.reader.partial:  # what is left has begun only now
+        # Bytes left over after a complete message belong to a message that begins with this read
+        if messages or not self.reader.partial:
             self.partial_since = None
         if self.reader.partial:
             self.partial_since = self.partial_since or now
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.handler.closed(self)
+        self.handler.connection_closed(self)
 
     def write(self, data: bytes) -> None:
-        """Write, unless it is closing. A viewer that leaves too much unread is cut."""
+        """Write unless the connection is closing. Disconnects a viewer that leaves too much unread."""
         if self.transport is None or not self.open:
             return
         self.wrote_at = clock()
         self.transport.write(data)
-        if self.transport.get_write_buffer_size() > WRITE_BUFFER_LIMIT:
+        if self.transport.get_write_buffer_size() > WRITE_BUFFER_LIMIT_BYTES:
             self.handler.count("does-not-read")
             self.transport.abort()
 
     def finish(self, linger: bool) -> None:
-        """Write no more. With `linger` the viewer has a second to read and to close: a connection closed with
-        bytes unread is reset, which may destroy what was written to it."""
+        """Stop writing and close the connection.
+
+        With `linger` only the write side is closed at first, and the viewer has LINGER_TIMEOUT_US to read
+        and to close: closing a socket with unread input resets the connection, which may discard data that
+        was written but not yet read by the viewer."""
         if self.transport is None or self.finishing:
             return
         if linger and not self.transport.is_closing():
@@ -102,12 +108,15 @@
         else:
             self.transport.close()
         if self.finishing or self.transport.get_write_buffer_size():
-            asyncio.get_running_loop().call_later(LINGER / SECOND, self.transport.abort)
+            asyncio.get_running_loop().call_later(LINGER_TIMEOUT_US / SECOND, self.transport.abort)
 
 
 @dataclass(slots=True)
 class ConnectionTable:
-    """All connections of viewers in order of use, those with sessions apart from those without."""
+    """All connections from viewers.
+
+    `all` is in order of acceptance. Each connection is also in one pool, least recently used first:
+    connections with standing sessions, other trusted ones, or the rest (strangers)."""
 
     all: dict[ViewerConnection, None] = field(default_factory=dict)
     _strangers: dict[ViewerConnection, None] = field(default_factory=dict)
@@ -118,17 +127,15 @@
         return len(self.all)
 
     def add(self, connection: ViewerConnection) -> None:
-        """A new connection."""
         self.all[connection] = None
-        self.used(connection, False)
+        self.mark_used(connection, False)
 
     def remove(self, connection: ViewerConnection) -> None:
-        """A connection is gone or closing."""
         for pool in (self.all, self._strangers, self._trusted, self._with_sessions):
             pool.pop(connection, None)
 
-    def used(self, connection: ViewerConnection, has_sessions: bool) -> None:
-        """Put it behind all others of its pool."""
+    def mark_used(self, connection: ViewerConnection, has_sessions: bool) -> None:
+        """Make a connection the most recently used one of the pool that it belongs to now."""
         if connection not in self.all:
             return
         for pool in (self._strangers, self._trusted, self._with_sessions):
@@ -136,35 +143,40 @@
         pool = self._trusted if connection.trusted else self._strangers
         (self._with_sessions if has_sessions else pool)[connection] = None
 
-    def eviction_candidate(self, has_open: Callable[[ViewerConnection], bool]) -> ViewerConnection | None:
-        """Which connection makes room for a new one: of strangers the idle first, then those long about a
-        message, then those that have had their test; then those that sessions came by, then any without an
-        open set-up. None where all have one."""
-        new_since = clock() - NEW_FOR
+    def eviction_candidate(
+        self, has_open_request: Callable[[ViewerConnection], bool]
+    ) -> ViewerConnection | None:
+        """Choose the connection to close for a new one; None if all have an open request.
+
+        In order: idle strangers past their grace period, strangers past it that are in the middle of a
+        message, idle proven strangers, idle trusted connections, idle connections with sessions, and finally
+        any connection without an open request. A connection is idle if no message has been received in part
+        and no request is open."""
+        grace_start = clock() - NEW_CONNECTION_GRACE_US
 
-        def idle(one: ViewerConnection) -> bool:
-            return one.partial_since is None and not has_open(one)
+        def is_idle(connection: ViewerConnection) -> bool:
+            return connection.partial_since is None and not has_open_request(connection)
 
-        # What is cheap to tell comes first: `has_open` may ask the socket
+        # The cheap conditions come first: `has_open_request` may poll the socket
         return (
-            _first(self._strangers, lambda one: one.opened_at <= new_since and idle(one))
-            or _first(self._strangers, lambda one: one.opened_at <= new_since and not has_open(one))
-            or _first(self._strangers, lambda one: one.proven and idle(one))
-            or _first(self._trusted, idle)
-            or _first(self._with_sessions, idle)
-            or _first(self.all, lambda one: not has_open(one))
+            _first(self._strangers, lambda c: c.opened_at <= grace_start and is_idle(c))
+            or _first(self._strangers, lambda c: c.opened_at <= grace_start and not has_open_request(c))
+            or _first(self._strangers, lambda c: c.proven and is_idle(c))
+            or _first(self._trusted, is_idle)
+            or _first(self._with_sessions, is_idle)
+            or _first(self.all, lambda c: not has_open_request(c))
         )
 
     def release_candidates(self) -> list[ViewerConnection]:
-        """Connections for what ends a session: those that sessions came by, then the proven, then the others
-        that are not new; of each the one opened last first."""
-        known_since = clock() - NEW_FOR
-        usable = [one for one in reversed(self.all) if one.open]
-        usable = [one for one in usable if one.trusted or one.proven or one.opened_at <= known_since]
-        return sorted(usable, key=lambda one: (not one.trusted, not one.proven))
+        """Connections to send releases on, best first: trusted, then proven, then others past their grace
+        period; in each class the most recently opened first."""
+        grace_start = clock() - NEW_CONNECTION_GRACE_US
+        usable = [connection for connection in reversed(self.all) if connection.open]
+        usable = [c for c in usable if c.trusted or c.proven or c.opened_at <= grace_start]
+        return sorted(usable, key=lambda c: (not c.trusted, not c.proven))
 
 
 def _first(
-    connections: Iterable[ViewerConnection], fits: Callable[[ViewerConnection], bool]
+    connections: Iterable[ViewerConnection], matches: Callable[[ViewerConnection], bool]
 ) -> ViewerConnection | None:
-    return next(filter(fits, connections), None)
+    return next(filter(matches, connections), None)
--- a/ponddoor/node/viewers.py
+++ b/ponddoor/node/viewers.py
@@ -1,6 +1,6 @@
-"""The shell towards viewers on the platform: binary messages on any number of connections.
+"""Serves viewers over the platform's binary protocol, on any number of connections.
 
-Who waits where, what stands and which releases are pending is kept by `ponddoor.obligations.sessions`."""
+The state of requests, standing sessions and pending releases is kept by `ponddoor.obligations.sessions`."""
 
 import asyncio
 from collections.abc import Callable
@@ -17,9 +17,9 @@
 from ponddoor.node.listener import Listener
 from ponddoor.node.session_log import SessionLog
 from ponddoor.node.viewer_connection import (
-    LINGER,
-    PARTIAL_MESSAGE_LIMIT,
-    SILENT_LIMIT,
+    LINGER_TIMEOUT_US,
+    PARTIAL_MESSAGE_TIMEOUT_US,
+    SILENT_CONNECTION_TIMEOUT_US,
     ConnectionTable,
     ViewerConnection,
 )
@@ -28,24 +28,27 @@
 from ponddoor.obligations.violations import Violation, Violations
 from ponddoor.web.unread import has_unread
 
-UNUSABLE_LOGGED = 20  # lines about requests that can't be used
-LINGERING_LIMIT = 16  # connections that linger at once; past that they end at once
-RELEASE_CHECK = SECOND // 20  # between two looks at pending releases
-LAST_FLUSH = SECOND // 20  # of the end, for what was written last to be read
-CLOSE_CHECK_S = 0.001  # between two looks at the connections that have something unread at the end
-FLUSH_CHECK_S = 0.005  # between two looks at what was written last
+MAX_UNUSABLE_LOGGED = 20  # log lines about unusable requests, in the life of the process
+LINGERING_LIMIT = 16  # connections that linger at the same time; further ones are closed at once
+RELEASE_CHECK_INTERVAL_US = SECOND // 20  # while releases are pending
+FINAL_FLUSH_US = SECOND // 20  # end of the shutdown that is left for viewers to read what was written last
+CLOSE_CHECK_INTERVAL_S = 0.001  # while connections still have unread input during the shutdown
+FLUSH_CHECK_INTERVAL_S = 0.005  # while viewers have not closed their connections during the final flush
 log = structlog.get_logger("viewers")
 
 
 @dataclass(slots=True)
 class Viewers:
-    """All viewers of one front. At most `most` connections; `attend` is told where sessions play."""
+    """Handles the connections, requests and sessions of all viewers of one front.
+
+    Keeps at most `max_connections` open. Calls `expect_sessions` with the number of a server when a viewer
+    hands over a session that plays there already."""
 
     engine: Engine
     apply: Apply
-    attend: Callable[[int], None]
+    expect_sessions: Callable[[int], None]
     groups: tuple[str, ...]
-    most: int
+    max_connections: int
     ready: bool = False
     drain: DrainSchedule | None = None
     connections: ConnectionTable = field(default_factory=ConnectionTable)
@@ -53,18 +56,19 @@
     counts: dict[str, int] = field(default_factory=dict)
     session_log: SessionLog = field(default_factory=SessionLog)
     _listener: Listener | None = None
-    _making_room: bool = False
-    _lingering: list[int] = field(default_factory=list)  # when the last were left to read
+    _eviction_scheduled: bool = False
+    # When the connections that may still linger began to
+    _linger_starts: list[int] = field(default_factory=list)
     _release_timer: asyncio.TimerHandle | None = None
 
     def __post_init__(self) -> None:
-        self.sessions = Sessions(Violations(self._violated))
+        self.sessions = Sessions(Violations(self._log_violation))
 
-    def count(self, what: str) -> None:
-        """Count what happened."""
-        self.counts[what] = self.counts.get(what, 0) + 1
+    def count(self, event: str) -> None:
+        """Increment the counter of `event`."""
+        self.counts[event] = self.counts.get(event, 0) + 1
 
-    def _violated(self, violation: Violation) -> None:
+    def _log_violation(self, violation: Violation) -> None:
         log.error(
             "invariant-violated",
             invariant=violation.invariant.value,
@@ -74,120 +78,128 @@
         )
 
     async def start(self, host: str, port: int) -> None:
-        """Listen. Raises OSError where the address can't be had."""
+        """Listen. Raises OSError if the address cannot be bound."""
         self._listener = Listener(lambda: ViewerConnection(self))
         self._listener.start(host, port)
 
     # Connections
 
-    def opened(self, connection: ViewerConnection) -> None:
-        """A connection has been accepted."""
+    def connection_opened(self, connection: ViewerConnection) -> None:
+        """Register an accepted connection, and evict another one if there are too many."""
         log.debug("opened", connection=connection.number, here=len(self.connections))
         self.connections.add(connection)
-        self._make_room()
+        self._schedule_eviction()
+
+    def _mark_used(self, connection: ViewerConnection) -> None:
+        self.connections.mark_used(connection, self.sessions.brought(connection))
 
-    def _used(self, connection: ViewerConnection) -> None:
-        self.connections.used(connection, self.sessions.brought(connection))
+    def _schedule_eviction(self) -> None:
+        """Evict idle connections in the next turn of the event loop if there are too many.
 
-    def _make_room(self) -> None:
-        """An idle connection makes room for a new one; one that has just asked is not idle."""
-        if len(self.connections) > self.most and not self._making_room:
-            self._making_room = True
+        A connection with a request that was only just read, or with unread input, is not idle."""
+        if len(self.connections) > self.max_connections and not self._eviction_scheduled:
+            self._eviction_scheduled = True
             asyncio.get_running_loop().call_soon(self._evict)
 
     def _evict(self) -> None:
-        self._making_room = False
-        while len(self.connections) > self.most:
+        self._eviction_scheduled = False
+        while len(self.connections) > self.max_connections:
             connection = self.connections.eviction_candidate(self._is_in_use)
             if connection is not None:
                 self.close_connection(connection, "evicted")
                 continue
             newest = next(reversed(self.connections.all))
             if has_unread(newest.transport):
-                self._make_room()
+                self._schedule_eviction()
                 return
             self.close_connection(newest, "too-many-connections")
 
     def _is_in_use(self, connection: ViewerConnection) -> bool:
-        """Whether a set-up is open on it, or may be in what is unread."""
+        """Whether a request is open on a connection, or may be in its unread input."""
         return self.sessions.is_open_on(connection) or has_unread(connection.transport)
 
-    def request_close(self, connection: ViewerConnection, why: str) -> None:
-        """Nothing after what came can be read on it."""
-        self.close_connection(connection, why)
+    def request_close(self, connection: ViewerConnection, reason: str) -> None:
+        """Close a connection whose further input cannot be decoded."""
+        self.close_connection(connection, reason)
 
-    def close_connection(self, connection: ViewerConnection, why: str, linger: bool | None = None) -> None:
-        """The one way in which this front closes a connection: what is open on it is answered first."""
-        self.count(why)
+    def close_connection(self, connection: ViewerConnection, reason: str, linger: bool | None = None) -> None:
+        """Answer the open requests of a connection, then close it. Every close by this front takes this path.
+
+        `linger` None lets the connection linger if it was written to lately and few others linger."""
+        self.count(reason)
         for session in self.sessions.open_on(connection):
-            self.answer_now(session, why)
+            self.answer_now(session, reason)
         self.sessions.closing(connection)
         log.debug(
             "closing",
             connection=connection.number,
-            why=why,
+            why=reason,
             age_us=clock() - connection.opened_at,
             proven=connection.proven,
             trusted=connection.trusted,
         )
-        self._gone(connection)
+        self._remove_connection(connection)
         connection.finish(self._may_linger(connection) if linger is None else linger)
 
     def _may_linger(self, connection: ViewerConnection) -> bool:
         now = clock()
-        lingering = [at for at in self._lingering if now - at < LINGER]
-        linger = len(lingering) < LINGERING_LIMIT and now - connection.wrote_at < LINGER
-        self._lingering = [*lingering, now] if linger else lingering
+        lingering = [start for start in self._linger_starts if now - start < LINGER_TIMEOUT_US]
+        linger = len(lingering) < LINGERING_LIMIT and now - connection.wrote_at < LINGER_TIMEOUT_US
+        self._linger_starts = [*lingering, now] if linger else lingering
         return linger
 
-    def closed(self, connection: ViewerConnection) -> None:
-        """A connection has ended, by whomever."""
-        self._gone(connection)
+    def connection_closed(self, connection: ViewerConnection) -> None:
+        """A connection has been closed by either side."""
+        self._remove_connection(connection)
+
+    def _remove_connection(self, connection: ViewerConnection) -> None:
+        """Withdraw the connection's open requests, and resend its unacknowledged releases on others.
 
-    def _gone(self, connection: ViewerConnection) -> None:
-        """Set-ups end with their connection, sessions that play do not; releases not heard go elsewhere."""
+        Standing sessions go on."""
         self.connections.remove(connection)
         end = self.sessions.connection_ended(clock(), connection)
         for session in end.given_up:
             self._withdraw(session)
         if end.resend:
-            self._send_releases()
+            self._send_due_releases()
 
     def _withdraw(self, session: str) -> None:
         self.apply(lambda now: self.engine.left(now, session))
 
-    def answer_now(self, session: str, why: str) -> None:
-        """A set-up can't wait any longer: it is answered in this instant."""
+    def answer_now(self, session: str, reason: str) -> None:
+        """Answer an open request at once, without waiting for a server."""
         record = self.sessions.find(session)
         if record is None:
             return
         if record.phase is Phase.RECEIVED:
-            self._reply(session, Answer("busy", come_back=self.engine.come_back, why=why))
+            self._reply(session, Answer("busy", come_back=self.engine.come_back, why=reason))
         else:
-            self.apply(lambda now: self.engine.answer_now(now, session, why))
+            self.apply(lambda now: self.engine.answer_now(now, session, reason))
 
     # Messages
 
-    def take(self, connection: ViewerConnection, message: codec.Message) -> None:
-        """A whole message has come."""
-        self._used(connection)
+    def message_received(self, connection: ViewerConnection, message: codec.Message) -> None:
+        """Handle one message."""
+        self._mark_used(connection)
         log.debug("viewer-says", connection=connection.number, said=message)
         match message:
             case codec.SetupRequest():
-                self._asked(connection, message)
-            case codec.UnusableRequest(session, why):
-                self._unusable(connection, session, why)
+                self._handle_request(connection, message)
+            case codec.UnusableRequest(session, reason):
+                self._reject_unusable(connection, session, reason)
             case codec.Release(session):
-                self._viewer_ends(connection, session)
+                self._handle_release(connection, session)
             case codec.ReleaseAck(session):
                 self.sessions.acknowledged(clock(), session)
             case codec.ReadinessTest(session):
                 connection.proven = True
                 connection.write(codec.encode_test_result(session, self.ready))
 
-    def _viewer_ends(self, connection: ViewerConnection, session: str) -> None:
-        """A set-up is given up on its own connection alone, lest a stranger give up another's: nobody would
-        be answered. A session that stands may be ended from any."""
+    def _handle_release(self, connection: ViewerConnection, session: str) -> None:
+        """Withdraw an open request, or end a standing session.
+
+        A request can only be withdrawn on its own connection: otherwise a stranger could withdraw it, and its
+        viewer would never be answered. A standing session can be ended from any connection."""
         if self.sessions.waits(session) not in (None, connection):
             return
         phase = self.sessions.give_up(clock(), session)
@@ -201,84 +213,90 @@
         else:
             self._withdraw(session)
 
-    def _asked(self, connection: ViewerConnection, asked: codec.SetupRequest) -> None:
+    def _handle_request(self, connection: ViewerConnection, request: codec.SetupRequest) -> None:
         plant, ladder = self.engine.facts.plant, self.engine.facts.ladder
         usable = (
-            asked.group in self.groups
-            and asked.home < plant.cells
-            and asked.span <= plant.cells
-            and asked.top < len(ladder.rate_kb)
+            request.group in self.groups
+            and request.home < plant.cells
+            and request.span <= plant.cells
+            and request.top < len(ladder.rate_kb)
         )
         if not usable:
-            self._unusable(connection, asked.sess, "out of range")
+            self._reject_unusable(connection, request.sess, "a parameter is out of range")
             return
         ask = Ask(
-            asked.title,
-            self.groups.index(asked.group),
+            request.title,
+            self.groups.index(request.group),
             0,
-            asked.home,
-            asked.span,
-            asked.top,
-            asked.wait,
-            asked.length,
-            asked.viewer,
-            asked.again,
+            request.home,
+            request.span,
+            request.top,
+            request.wait,
+            request.length,
+            request.viewer,
+            request.again,
             False,
-            asked.description,
+            request.description,
         )
         connection.proven = True
-        if asked.at:
-            self._handed_over(connection, asked.sess, ask, server_number(asked.at))
-        elif self._known(asked.sess):
-            self._again(connection, asked.sess)
+        if request.server:
+            self._take_over(connection, request.sess, ask, server_number(request.server))
+        elif self._is_known(request.sess):
+            self._handle_duplicate(connection, request.sess)
         else:
-            self._receive(connection, asked.sess, ask)
+            self._receive(connection, request.sess, ask)
 
-    def _handed_over(self, connection: ViewerConnection, session: str, ask: Ask, server: int) -> None:
-        if self._known(session):
+    def _take_over(self, connection: ViewerConnection, session: str, ask: Ask, server: int) -> None:
+        if self._is_known(session):
             return
-        plays = self.sessions.hand_over(clock(), session, connection)
-        self._used(connection)
+        stands = self.sessions.hand_over(clock(), session, connection)
+        self._mark_used(connection)
         self.session_log.session_standing(session, server, connection.number)
         self.apply(lambda now: self.engine.handed_over(now, session, ask, server))
-        self.attend(server)
-        if not plays:  # its viewer has ended it already, on another connection
+        self.expect_sessions(server)
+        if not stands:  # its viewer's release on another connection was read first
             self.count("released-before-hand-over")
             self._withdraw(session)
 
     def _receive(self, connection: ViewerConnection, session: str, ask: Ask) -> None:
-        """The decisions are asked once all that has come is read: a set-up that is taken back by what came
-        with it is no arrival, by which probes are paced."""
+        """Register a request, and submit it once all input that has arrived by now is read.
+
+        A request that is withdrawn by input that arrived with it does not reach the engine, where it would
+        count as an arrival; the rate of arrivals paces the probes."""
         read_at = clock()
         self.sessions.receive(read_at, session, connection, ask.wait)
         if self.sessions.received + self.engine.in_hand <= self.engine.gate.limits.in_hand:
             once_read(lambda: self._submit(session, ask, read_at))
-        else:  # the engine says that it is too much
+        else:  # over the limit: the engine answers busy at once
             self._submit(session, ask, read_at)
 
     def _submit(self, session: str, ask: Ask, read_at: int) -> None:
         now = clock()
         record = self.sessions.find(session)
         if record is None or record.since != read_at or not self.sessions.submit(now, session):
-            return  # it has ended by now, or its id was used again
+            return  # it has ended by now, or the record is that of a later request with the same id
         wait = max(ask.wait - (now - read_at), 1)
         if self.drain is not None:
             wait = self.drain.time_for(now, wait)
         self.apply(lambda now: self.engine.request(now, session, replace(ask, wait=wait), None)[1])
 
-    def _known(self, session: str) -> bool:
+    def _is_known(self, session: str) -> bool:
         return self.sessions.find(session) is not None or self.engine.find(session) is not None
 
-    def _again(self, connection: ViewerConnection, session: str) -> None:
-        """An id is used twice: the session that has it, if another's, is left as it is."""
+    def _handle_duplicate(self, connection: ViewerConnection, session: str) -> None:
+        """Handle a request whose id is in use already.
+
+        If the first request is open on the same connection, one failure answers both. If it is open on an
+        untrusted connection and the duplicate comes on a trusted one, the first request ends. Otherwise the
+        existing request or session is left as it is: it may be that of another viewer."""
         self.count("id-used-twice")
         first = self.sessions.waits(session)
         if first is connection:
-            self._fail(connection, session)
+            self._fail_duplicate(connection, session)
         elif first is not None and connection.trusted and not first.trusted:
-            # A stranger's copy was read before the viewer's own set-up: who has had sessions here is answered
+            # A stranger's copy was read before the viewer's own request: the trusted connection is answered
             self.count("overtaken")
-            self._fail(connection, session)
+            self._fail_duplicate(connection, session)
             if not self.sessions.is_open_on(first):
                 self.close_connection(first, "closed-for-id")
         elif self.sessions.is_open_on(connection):
@@ -286,8 +304,8 @@
         else:
             self.close_connection(connection, "closed-for-id")
 
-    def _fail(self, connection: ViewerConnection, session: str) -> None:
-        """The set-up under an id ends, and whoever used the id again is told that it failed."""
+    def _fail_duplicate(self, connection: ViewerConnection, session: str) -> None:
+        """End the request with this id, and report its failure on the connection that used the id again."""
         phase = self.sessions.give_up(clock(), session)
         if phase is Phase.RECEIVED:
             self.count("taken-back")
@@ -295,19 +313,19 @@
             self._withdraw(session)
         connection.write(codec.encode_failed(session))
 
-    def _unusable(self, connection: ViewerConnection, session: str, why: str) -> None:
+    def _reject_unusable(self, connection: ViewerConnection, session: str, reason: str) -> None:
         self.count("unusable")
-        if self.counts["unusable"] <= UNUSABLE_LOGGED:
-            log.info("unusable", session=session, why=why)
-        if self._known(session):
-            self._again(connection, session)
+        if self.counts["unusable"] <= MAX_UNUSABLE_LOGGED:
+            log.info("unusable", session=session, why=reason)
+        if self._is_known(session):
+            self._handle_duplicate(connection, session)
         else:
             connection.write(codec.encode_failed(session))
 
-    # What the engine wants
+    # Effects of the engine
 
     def carry_out(self, effect: fx.Reply | fx.Push) -> None:
-        """Answer a set-up, or tell of the end of a session."""
+        """Send an answer to a request, or the release of a session."""
         log.debug("to-viewer", effect=effect)
         match effect:
             case fx.Reply(session, answer):
@@ -315,9 +333,9 @@
             case fx.Push(session, "ended", "viewer-gone"):
                 self.session_log.session_over(session, "viewer-gone")
                 self.sessions.end_silently(clock(), session)
-            case fx.Push(session, "ended", why):
-                self.session_log.session_over(session, str(why))
-                self._release(session, codec.encode_ended(session, why == "lost"))
+            case fx.Push(session, "ended", reason):
+                self.session_log.session_over(session, str(reason))
+                self._release(session, codec.encode_ended(session, reason == "lost"))
             case fx.Push(session, "moved"):
                 self.session_log.session_over(session, "moved")
                 self._release(session, codec.encode_moved(session), acknowledged=False)
@@ -330,7 +348,7 @@
         match answer.kind:
             case "playing":
                 connection.trusted = True
-                self._used(connection)
+                self._mark_used(connection)
                 held = self.engine.find(session)
                 self.session_log.session_standing(
                     session, -1 if held is None else held.server, connection.number
@@ -344,14 +362,15 @@
     # Releases
 
     def _release(self, session: str, message: bytes, acknowledged: bool = True) -> None:
-        """On the session's own connection, else on another: a session that stands belongs to none."""
+        """Send the release of a standing session, on the connection of its request or, if that is closed, on
+        another: the protocol lets a release go out on any connection."""
         record = self.sessions.find(session)
         own = record.connection if record is not None else None
         if not self.sessions.end(clock(), session, message, acknowledged):
             return
         if own is not None and own.open:
             self._write_release(own, session, message)
-        self._send_releases()
+        self._send_due_releases()
 
     def _write_release(self, connection: ViewerConnection, session: str, message: bytes) -> None:
         connection.write(message)
@@ -361,88 +380,93 @@
         )
         self.sessions.sent(clock(), session, connection)
 
-    def _send_releases(self) -> None:
+    def _send_due_releases(self) -> None:
         due = self.sessions.due(clock())
         candidates = self.connections.release_candidates() if due else []
         for record in due if candidates else ():
-            untried = (one for one in candidates if one not in record.tried)
+            untried = (candidate for candidate in candidates if candidate not in record.tried)
             connection = next(untried, candidates[0])
             self._write_release(connection, record.session, record.message)
         if self.sessions.pending and self._release_timer is None:
             loop = asyncio.get_running_loop()
-            self._release_timer = loop.call_later(RELEASE_CHECK / SECOND, self._releases_due)
+            self._release_timer = loop.call_later(
+                RELEASE_CHECK_INTERVAL_US / SECOND, self._release_timer_expired
+            )
 
-    def _releases_due(self) -> None:
+    def _release_timer_expired(self) -> None:
         self._release_timer = None
-        self._send_releases()
+        self._send_due_releases()
 
     # Time
 
-    def look(self, now: int) -> None:
-        """Called every quarter of a second or so."""
+    def tick(self, now: int) -> None:
+        """Close connections that time out, and answer overdue requests. Called a few times a second."""
         for connection in list(self.connections.all):
-            begun = connection.partial_since
-            if begun is not None and now - begun > PARTIAL_MESSAGE_LIMIT:
-                if not has_unread(connection.transport):  # the rest may have come while this process stood
+            partial_since = connection.partial_since
+            if partial_since is not None and now - partial_since > PARTIAL_MESSAGE_TIMEOUT_US:
+                # The rest may have arrived while this process was not scheduled
+                if not has_unread(connection.transport):
                     self.close_connection(connection, "partial-message")
             elif self._is_silent(connection, now):
                 self.close_connection(connection, "silent")
-        self._make_room()
+        self._schedule_eviction()
         for session in self.sessions.overdue(now):
             self.answer_now(session, "overdue")
 
     def _is_silent(self, connection: ViewerConnection, now: int) -> bool:
-        """Whether it has brought nothing of use, a begun message and what is unread included."""
-        if connection.proven or now - connection.opened_at <= SILENT_LIMIT:
+        """Whether a connection has sent nothing of use in time. A partial message or unread input is of use."""
+        if connection.proven or now - connection.opened_at <= SILENT_CONNECTION_TIMEOUT_US:
             return False
         return connection.partial_since is None and not has_unread(connection.transport)
 
     @property
-    def busy(self) -> bool:
-        """Whether a set-up is open, or a message has begun, on any connection."""
+    def has_unfinished_requests(self) -> bool:
+        """Whether a request is open, or a message has been received in part, on any connection."""
         return bool(self.sessions.open_requests()) or any(
             connection.partial_since is not None for connection in self.connections.all
         )
 
-    # The end
+    # Shutdown
 
-    async def accept_no_more(self, until: int) -> None:
-        """Nobody new; who has come by now is taken in."""
+    async def stop_accepting(self, until: int) -> None:
+        """Accept the connections in the backlog, then close the listener, by `until` at the latest."""
         if self._listener is not None:
             loop = asyncio.get_running_loop()
             await self._listener.close(loop.time() + (until - clock()) / SECOND)
 
     def close_idle(self) -> None:
-        """Close connections with no set-up open, no session that stands and nothing unread."""
+        """Close connections that have no open request, standing session, partial message or unread input."""
         for connection in list(self.connections.all):
-            if not self.sessions.brought(connection) and self._is_between_messages(connection):
+            if not self.sessions.brought(connection) and self._is_idle(connection):
                 self.close_connection(connection, "drained", linger=True)
 
-    def _is_between_messages(self, connection: ViewerConnection) -> bool:
+    def _is_idle(self, connection: ViewerConnection) -> bool:
         return connection.partial_since is None and not self._is_in_use(connection)
 
     def answer_all(self) -> None:
-        """Answer every open set-up now."""
+        """Answer every open request now."""
         for session in self.sessions.open_requests():
             self.answer_now(session, "draining")
 
     async def close(self, until: int) -> None:
-        """Answer every set-up, then end every connection once what it brought is read and answered and what
-        was written to it has been read, `until` at the latest."""
-        await self.accept_no_more(until)
+        """Stop accepting, answer every request and close every connection, by `until` at the latest.
+
+        A connection is closed once its input is read and answered; then its viewer has time to read the
+        answers, before what is still open is aborted."""
+        await self.stop_accepting(until)
         connections = list(self.connections.all)
-        while self.connections.all and clock() < until - LAST_FLUSH:
+        while self.connections.all and clock() < until - FINAL_FLUSH_US:
             self.answer_all()
             for connection in list(self.connections.all):
-                if self._is_between_messages(connection):
+                if self._is_idle(connection):
                     self.close_connection(connection, "ended", linger=True)
-            await asyncio.sleep(CLOSE_CHECK_S)
+            await asyncio.sleep(CLOSE_CHECK_INTERVAL_S)
         if self._release_timer is not None:
             self._release_timer.cancel()
         for connection in list(self.connections.all):
             self.close_connection(connection, "ended", linger=True)
-        while any(_is_connected(one) for one in connections) and clock() < until:
-            await asyncio.sleep(FLUSH_CHECK_S)
+        while any(_is_connected(connection) for connection in connections) and clock() < until:
+            await asyncio.sleep(FLUSH_CHECK_INTERVAL_S)
         for connection in connections:
             if connection.transport is not None:
                 connection.transport.abort()
--- a/tests/node/test_codecs.py
+++ b/tests/node/test_codecs.py
@@ -97,7 +97,7 @@
         2,
         "a\r\n\u00e9",
     )
-    assert board_codec.server_number(got.at) == 0x00C41F7A
+    assert board_codec.server_number(got.server) == 0x00C41F7A
 
 
 def test_an_event_of_the_board() -> None:
--- a/tests/node/test_crossings.py
+++ b/tests/node/test_crossings.py
@@ -374,7 +374,7 @@
             else:
                 viewers[0].send(data)
 
-        instant = "accept_no_more" if how == "on a new connection" else "answer_all"
+        instant = "stop_accepting" if how == "on a new connection" else "answer_all"
         before(world.patch, node_viewers.Viewers, instant, lambda *_: comes())
         world.node.end()
         while not came:
@@ -430,7 +430,7 @@
         await begun(world, "last=20000", "look=5000", "half=50000")
         viewer = await proven(world)
         viewer.send(set_up("1")[:20])
-        while not world.node.viewers.busy:
+        while not world.node.viewers.has_unfinished_requests:
             await asyncio.sleep(0)
         world.node.end()
         await world.task
@@ -585,7 +585,7 @@
                 asked.append(None)
                 oldest.send(set_up("1"))
 
-        before(world.patch, node_viewers.Viewers, "opened", asks)
+        before(world.patch, node_viewers.Viewers, "connection_opened", asks)
         late = await proven(world)
         while len(world.node.viewers.connections) > 16:
             await asyncio.sleep(0)
@@ -648,7 +648,12 @@
     async def course(world: World) -> None:
         await begun(world, "sockets=300", "half=60000000", "silent=60000000")
         crowd, data, most = list[Raw](), set_up("9"), list[int]()
-        before(world.patch, node_viewers.Viewers, "opened", lambda *_: most.append(open_descriptors(world)))
+        before(
+            world.patch,
+            node_viewers.Viewers,
+            "connection_opened",
+            lambda *_: most.append(open_descriptors(world)),
+        )
         for round_ in range(20):
             for _ in range(50):
                 crowd.append(Raw(world))
@@ -659,7 +664,7 @@
             viewer.send(set_up(str(100 + round_)))
             await setups(world, str(100 + round_))
             viewer.close()
-        limit = world.node.viewers.most + 8 * node_listener.AT_ONCE
+        limit = world.node.viewers.max_connections + 8 * node_listener.AT_ONCE
         assert len(crowd) == 1000 and max(most) <= limit, (max(most), limit)
         for raw in crowd:
             raw.close()
@@ -830,7 +835,7 @@
             await asyncio.sleep(0)
         viewer.send(set_up("1")[20:])
         time.sleep(0.05)
-        world.node.viewers.look(clock())
+        world.node.viewers.tick(clock())
         assert len(world.node.viewers.connections) == 1
         await world.step("S", "gets", "new", "1")
         viewer.close()
--- a/tests/soak/mutants.py
+++ b/tests/soak/mutants.py
@@ -44,7 +44,7 @@
 def closes_without_answers() -> None:
     """Open set-ups are dropped with their connections at the end."""
     Viewers.answer_all = lambda self: None  # type: ignore[method-assign]
-    Viewers.answer_now = lambda self, session, why: None  # type: ignore[method-assign]
+    Viewers.answer_now = lambda self, session, reason: None  # type: ignore[method-assign]
 
 
 def writes_a_release_once() -> None:
