--- a/ponddoor/node/viewers.py
+++ b/ponddoor/node/viewers.py
@@ -414,7 +414,7 @@
             self.answer_now(session, "overdue")
 
     def _is_silent(self, connection: ViewerConnection, now: int) -> bool:
-        """Whether a connection has sent nothing of use in time. A partial message or unread input is of use."""
+        """Whether a connection has sent nothing of use in time; partial messages and unread input count."""
         if connection.proven or now - connection.opened_at <= SILENT_CONNECTION_TIMEOUT_US:
             return False
         return connection.partial_since is None and not has_unread(connection.transport)
