--- a/ponddoor/node/servers.py
+++ b/ponddoor/node/servers.py
@@ -1,4 +1,4 @@
-"""The shell towards servers on the platform: all of them, and which of them has a connection."""
+"""All media servers of one front on the platform: their links, their connections and the sessions they hold."""
 
 import asyncio
 import itertools
@@ -21,24 +21,25 @@
 from ponddoor.node.server_messages import Outgoing
 from ponddoor.obligations.violations import Invariant, Violations
 
-UNLISTED_TIMEOUT_US = (
-    13 * SECOND // 2
-)  # a session is handed over at a server that the list may name so much later
+# A session may be handed over at a server that the server list names only later
+UNLISTED_TIMEOUT_US = 13 * SECOND // 2
 MAX_UNLISTED_SERVERS = 4096
-MAX_NEEDED_OVER_LIMIT = 32  # connections over the limit where every one is needed
-MAX_GONE_SERVERS = 16_384  # whose numbers are kept
-MAX_SESSIONS_ENDED_PER_TURN = 100  # sessions of lost servers that end in one turn of the loop
-MAX_IDS_LOGGED = 20  # sessions that one line of the log names
-LEASE_OVERDUE_AFTER_US = (
-    SECOND // 2
-)  # past its end a lease is carried out by the check, which is a fault of ours
-FLUSH_POLL_S = 0.01  # between two looks at what was written last
+MAX_NEEDED_OVER_LIMIT = 32  # connections above `max_connections` while every open one is needed
+MAX_GONE_SERVERS = 16_384  # removed servers that are remembered
+MAX_SESSIONS_ENDED_PER_TURN = 100  # of lost servers, in one iteration of the event loop
+MAX_IDS_LOGGED = 20  # session ids in one log line
+# A lease that is still in use this long after its end should have been ended by `tick`: an internal fault
+LEASE_OVERDUE_AFTER_US = SECOND // 2
+FLUSH_POLL_S = 0.01
 log = structlog.get_logger("servers")
 
 
 @dataclass(slots=True)
 class Servers:
-    """All servers of one front. `apply` calls the engine at the clock and carries out its effects."""
+    """All servers of one front. `apply` calls the engine with the current time and executes its effects.
+
+    Times are in microseconds. `connect_timeout` is that of the settings; `me` is the number of this front,
+    from 0 below `fronts`."""
 
     engine: Engine
     apply: Apply
@@ -48,35 +49,33 @@
     fronts: int = 1
     links: dict[int, ServerLink] = field(default_factory=dict)
     counts: dict[str, int] = field(default_factory=dict)
-    random: Random = field(default_factory=Random)  # of the backoff's jitter
-    max_connections: int = 1 << 30  # connections at once
+    random: Random = field(default_factory=Random)  # for the jitter of the backoff
+    max_connections: int = 1 << 30
     setups_enabled: bool = False
     violations: Violations = field(default_factory=Violations)
-    open_links: dict[ServerLink, None] = field(
-        default_factory=dict
-    )  # or connecting, the longest unused first
-    extra_connections: dict[ServerConnection, None] = field(
-        default_factory=dict
-    )  # further connections of links
-    _active_links: dict[ServerLink, None] = field(default_factory=dict)  # that a look may find something at
-    _unlisted_since: dict[int, int] = field(default_factory=dict)  # servers of hand-overs, since when
+    # Links with a connection, open or being opened, the least recently used first
+    open_links: dict[ServerLink, None] = field(default_factory=dict)
+    # Connections of a link besides the one in use
+    extra_connections: dict[ServerConnection, None] = field(default_factory=dict)
+    # Links that `tick` has to check
+    _active_links: dict[ServerLink, None] = field(default_factory=dict)
+    # Servers with handed-over sessions that the list does not name yet, with the time of the first hand-over
+    _unlisted_since: dict[int, int] = field(default_factory=dict)
     _unlisted_releases: dict[int, dict[str, None]] = field(default_factory=dict)
-    _ending_sessions: dict[int, deque[tuple[str, int]]] = field(
-        default_factory=dict
-    )  # sessions that end, by server
+    # Sessions that are about to be ended as lost: (session, attempt) by server
+    _ending_sessions: dict[int, deque[tuple[str, int]]] = field(default_factory=dict)
     _ending_scheduled: bool = False
-    _gone_servers: dict[int, None] = field(
-        default_factory=dict
-    )  # servers that the list has named and removed
+    # Servers that the list has named and removed, the longest known first
+    _gone_servers: dict[int, None] = field(default_factory=dict)
     _message_ids: "itertools.count[int]" = field(default_factory=lambda: itertools.count(1))
 
-    def count(self, what: str) -> None:
-        self.counts[what] = self.counts.get(what, 0) + 1
+    def count(self, event: str) -> None:
+        self.counts[event] = self.counts.get(event, 0) + 1
 
     def enable_setups(self) -> None:
-        """The list has told what came since the list of the start, or can't: SETUPs may go out.
+        """Allow SETUPs to be sent, once the changes since the initial server list are known or unavailable.
 
-        Before that they wait: a drain that the list has counts as told from the start of this process."""
+        SETUPs wait until then, because a drain that the list announces binds this process from its start."""
         if not self.setups_enabled:
             self.setups_enabled = True
             for link in list(self._active_links):
@@ -84,23 +83,25 @@
 
     @property
     def unsent(self) -> bool:
-        """Whether something is still to be written."""
+        """Whether a message still has to be written to a server."""
         return any(link.unsent for link in self._active_links)
 
     def mark_used(self, link: ServerLink) -> None:
-        """A link is used, or waits for something: it is looked at from now on."""
+        """Have `tick` check this link, and make it the most recently used one."""
         self._active_links[link] = None
         if link in self.open_links:
             del self.open_links[link]
             self.open_links[link] = None
 
     def make_room(self) -> bool:
-        """Whether one more may be opened. Where all connections that the descriptors allow are open, the one
-        that was of no use for longest is closed; where every one is needed, a few more are allowed."""
+        """Return whether one more connection may be opened.
+
+        At the limit, the least recently used connection that is not needed is closed. If every one is
+        needed, up to MAX_NEEDED_OVER_LIMIT more are allowed."""
         if len(self.open_links) + len(self.extra_connections) < self.max_connections:
             return True
-        free = (link for link in self.open_links if link.connection is not None and not link.needed)
-        oldest = next(free, None)
+        unneeded = (link for link in self.open_links if link.connection is not None and not link.needed)
+        oldest = next(unneeded, None)
         if oldest is not None:
             assert oldest.connection is not None
             oldest.close_connection(oldest.connection, "made room")
@@ -108,25 +109,26 @@
         return oldest is not None or count < self.max_connections + MAX_NEEDED_OVER_LIMIT
 
     def connect_delay(self) -> int:
-        """How long this front waits before it connects where many do: its part of a connect timeout (us)."""
+        """The time (us) that this front waits before it connects when many fronts are likely to connect at
+        once: its own share of a connect timeout, by its number."""
         return self.connect_timeout * self.me // max(self.fronts, 1)
 
     def new_id(self) -> str:
-        """An id for a message that belongs to no session."""
+        """A new id for a message that belongs to no session."""
         return f"{next(self._message_ids):016x}"
 
     def apply_list_change(self, change: ListChange) -> None:
-        """The list has changed."""
+        """Create, update and remove links after a change of the server list."""
         for entry in change.entries:
             number = entry.server
             link = self.links.get(number)
-            place = entry.address, entry.started_us
+            process = entry.address, entry.started_us
             if link is None:
                 self.links[number] = ServerLink(self, number, entry)
                 self._server_listed(self.links[number])
-            elif (link.entry.address, link.entry.started_us) == place:
+            elif (link.entry.address, link.entry.started_us) == process:
                 link.entry = entry
-            else:  # another process: what played there is over
+            else:  # another process, which does not have the sessions of the previous one
                 self.links[number] = ServerLink(self, number, entry)
                 self.end_sessions(link, "another process at its address")
                 self._discard(link)
@@ -141,7 +143,7 @@
             self._remove_if_unused(link)
 
     def _remove_if_unused(self, link: ServerLink) -> None:
-        """A server that has gone is forgotten once nothing of ours is left there."""
+        """Remove the link to a server that is gone, once no session or message depends on it."""
         busy = self.engine.plays_at(link.number) or link.queued or link.has_setups
         if link.entry.state == "gone" and not busy:
             if self.links.get(link.number) is link:
@@ -149,21 +151,22 @@
             self._discard(link)
 
     def _discard(self, link: ServerLink) -> None:
-        """The link is of no use any more: no look finds it."""
+        """Close a link that is no longer used and stop checking it."""
         self._fail_link(link)
         self._active_links.pop(link, None)
         self.open_links.pop(link, None)
 
     def _fail_link(self, link: ServerLink) -> None:
-        """Nothing goes out on this link any more. What waited is answered in the next turn: the decisions
-        have heard the news by then that we are in the middle of, and would else choose the same again."""
-        waiting, link.queued = link.queued, []
-        for item in waiting:
+        """Close a link. Its queued messages fail in the next turn of the event loop: by then the engine has
+        processed the list change that is being applied now; earlier it would choose the same server again."""
+        queued, link.queued = link.queued, []
+        for item in queued:
             asyncio.get_running_loop().call_soon(self.fail_unsent, item, ev.Result.CONNECT_FAILED)
         link.fail_connections("gone")
         link.close()
 
     def carry_out(self, effect: Effect) -> None:
+        """Execute an effect of the engine that is for a server. Raises TypeError for any other."""
         match effect:
             case fx.SendSetup() | fx.SendRung() | fx.SendProbe():
                 link = self.links.get(effect.server)
@@ -182,14 +185,15 @@
                 if link is not None and link.connection is not None and not (link.has_setups or link.queued):
                     link.close_connection(link.connection, "let go")
             case _:
-                raise TypeError(f"{effect} is not for servers")
+                raise TypeError(f"{effect} is not addressed to a server")
 
-    def fail_unsent(self, item: Outgoing, why: ev.Result) -> None:
+    def fail_unsent(self, item: Outgoing, result: ev.Result) -> None:
+        """Tell the engine that a SETUP or probe was not sent; other messages need no answer."""
         match item:
             case fx.SendSetup(sess, attempt, server):
-                self.setup_answered(sess, attempt, server, why, {})
+                self.setup_answered(sess, attempt, server, result, {})
             case fx.SendProbe(server):
-                self.probe_answered(server, 0, why, {})
+                self.probe_answered(server, 0, result, {})
 
     def setup_answered(
         self,
@@ -200,41 +204,44 @@
         report: dict[str, float],
         passed: str = "",
     ) -> None:
+        """Tell the engine the outcome of a SETUP: None if the session stands, with the description `passed`
+        on to its viewer."""
         self.apply(
             lambda now: self.engine.setup_answered(now, sess, attempt, server, result, report, {}, passed)
         )
 
     def probe_answered(self, server: int, lag: int, result: ev.Result, report: dict[str, float]) -> None:
+        """Tell the engine the outcome of a probe, after `lag` microseconds."""
         self.apply(lambda now: self.engine.probed(now, server, lag, result, report))
 
-    def end_sessions(self, link: ServerLink, why: str, standing_since: int | None = None) -> None:
-        """What plays at a server now is over, or what has stood since then or longer; many sessions end in
-        slices, a turn of the loop each."""
-        held = self.engine.playing_at(link.number)
+    def end_sessions(self, link: ServerLink, reason: str, standing_since: int | None = None) -> None:
+        """End the sessions at a server as lost: all, or only those that have stood since `standing_since` or
+        longer. At most MAX_SESSIONS_ENDED_PER_TURN end in one turn of the event loop."""
+        lost = self.engine.playing_at(link.number)
         if standing_since is not None:
-            held = [one for one in held if one.standing_since <= standing_since]
-        if not held or link.number in self._ending_sessions:
+            lost = [held for held in lost if held.standing_since <= standing_since]
+        if not lost or link.number in self._ending_sessions:
             return
         log.info(
             "sessions-lost",
             server=server_id(link.number),
-            why=why,
-            sessions=len(held),
-            ids=[one.sess for one in held[:MAX_IDS_LOGGED]],
+            why=reason,
+            sessions=len(lost),
+            ids=[held.sess for held in lost[:MAX_IDS_LOGGED]],
             signs=link.lease.chain(clock()),
         )
-        self._ending_sessions[link.number] = deque((one.sess, one.attempt) for one in held)
+        self._ending_sessions[link.number] = deque((held.sess, held.attempt) for held in lost)
         if not self._ending_scheduled:
             self._ending_scheduled = True
             asyncio.get_running_loop().call_soon(self._end_next_sessions)
 
     def _end_next_sessions(self) -> None:
-        left = MAX_SESSIONS_ENDED_PER_TURN
-        while self._ending_sessions and left:
+        remaining = MAX_SESSIONS_ENDED_PER_TURN
+        while self._ending_sessions and remaining:
             number, sessions = next(iter(self._ending_sessions.items()))
-            while sessions and left:
+            while sessions and remaining:
                 sess, attempt = sessions.popleft()
-                left -= 1
+                remaining -= 1
                 self._end_session(sess, attempt)
             if not sessions:
                 del self._ending_sessions[number]
@@ -246,9 +253,10 @@
         self.apply(lambda now: self.engine.stream_ended(now, sess, attempt, "lost"))
 
     def expect_sessions(self, server: int) -> None:
-        """Sessions play there from before our start: what the server says of them needs a connection.
+        """Connect to a server at which sessions from before this process's start were handed over, to
+        receive its messages about them.
 
-        A server that the list does not name yet is waited for; one that it has removed is gone."""
+        A server that the list does not name yet is waited for; one that the list has removed is lost."""
         link = self.links.get(server)
         if link is not None:
             link.lease.grant(clock())
@@ -261,7 +269,7 @@
             self._unlisted_since.setdefault(server, clock())
 
     def _server_listed(self, link: ServerLink) -> None:
-        """The list names a server for the first time: sessions may play there, releases may be pending."""
+        """Connect to a server that is new in the list if sessions or pending releases are waiting for it."""
         self._gone_servers.pop(link.number, None)
         self._unlisted_since.pop(link.number, None)
         for sess in self._unlisted_releases.pop(link.number, {}):
@@ -291,7 +299,8 @@
                 self._server_lost(server)
 
     def tick(self, now: int, idle: int) -> None:
-        """Called every quarter of a second or so."""
+        """Check everything that depends on time; called about every quarter of a second. Connections that
+        were not used for `idle` microseconds are closed."""
         for link in list(self._active_links):
             link.tick(now, idle)
             self._remove_if_unused(link)
@@ -301,32 +310,33 @@
         self._check_leases(now)
 
     def _check_leases(self, now: int) -> None:
-        """No session stands at a server past its lease, whatever a look has left undone."""
+        """Give up every server whose lease is over and that the ticks of the links have missed."""
         for number in self.engine.servers_in_use():
             link = self.links.get(number)
             if link is None and number not in self._unlisted_since:
                 self._report_overdue(number, "no link", ())
                 self._server_lost(number)
             elif number in self._ending_sessions:
-                continue  # it is being carried out
+                continue  # its sessions are being ended
             elif link is not None and link.lease.is_overdue(now, LEASE_OVERDUE_AFTER_US):
                 self._report_overdue(number, "lease over", tuple(link.lease.chain(now)))
                 link.give_up(now, "overdue")
 
-    def _report_overdue(self, number: int, why: str, signs: tuple[str, ...]) -> None:
-        self.violations.add(Invariant.LEASE_IN_TIME, server_id(number), why, signs)
+    def _report_overdue(self, number: int, reason: str, signs: tuple[str, ...]) -> None:
+        self.violations.add(Invariant.LEASE_IN_TIME, server_id(number), reason, signs)
 
     def lease_counts(self, now: int) -> dict[str, int]:
-        """Servers with sessions by the state of their lease, and the oldest proof of any (ms)."""
-        told, oldest = dict[str, int](), 0
+        """The number of servers with sessions by the state of their lease, and under "oldest_proof_ms" the
+        age of the oldest last message among them."""
+        counts, oldest = dict[str, int](), 0
         for number in self.engine.servers_in_use():
             if (link := self.links.get(number)) is not None:
-                told[link.lease.state.value] = told.get(link.lease.state.value, 0) + 1
+                counts[link.lease.state.value] = counts.get(link.lease.state.value, 0) + 1
                 oldest = max(oldest, now - (link.lease.proven_at or now))
-        return told | {"oldest_proof_ms": oldest // 1000}
+        return counts | {"oldest_proof_ms": oldest // 1000}
 
     async def close(self, until: int) -> None:
-        """End every connection once what was written to it has left, `until` at the latest."""
+        """Close every connection once all written data has been sent, at `until` at the latest."""
         while any(link.unsent for link in self._active_links if link.connection) and clock() < until:
             await asyncio.sleep(FLUSH_POLL_S)
         for link in {**self._active_links, **self.open_links}:
