--- a/ponddoor/node/server_link.py
+++ b/ponddoor/node/server_link.py
@@ -1,9 +1,10 @@
-"""One server on the platform: what waits for it, the connection in use, and the lease of the sessions there.
+"""The link to one media server: queued messages, the connection in use, and the lease of the sessions there.
 
-What a connection's end means is told to the engine: refused, nothing ran and no session is left there;
-broken, its SETUPs are lost and no session that plays. `ponddoor.obligations.lease` has what a server must
-say for its sessions to stand, `completeness` when a connection is opened beside the one in use to hear what
-may have been missed; `connection_refresh` keeps such connections."""
+The engine is told what the end of a connection means. Connection refused: no SETUP was processed and no
+session is left at the server. Connection broken: its SETUPs are lost, but no session that plays.
+`ponddoor.obligations.lease` defines which messages of a server prove that its sessions stand;
+`ponddoor.obligations.completeness` defines when a connection is opened beside the one in use, to receive
+messages that may have been missed. `connection_refresh` manages these further connections."""
 
 import asyncio
 from dataclasses import dataclass, field
@@ -28,19 +29,21 @@
 from ponddoor.web.connecting import connect_within
 from ponddoor.web.unread import has_unread
 
-ADDRESS_REUSE_TIMEOUT_US = (
-    SECOND  # a server told gone that is answered for so long: a new one has its address
-)
-PARTIAL_LINE_TIMEOUT_US = SECOND // 4  # a line that takes longer than this to end does not end
-UNREAD_GRACE_US = SECOND // 4  # what has come as a lease ends is read first, for so long
-MAX_BACKOFF_WITH_SESSIONS_US = SECOND  # between two connects to a server where sessions stand, at most
-MAX_QUEUED_MESSAGES = 1000  # messages that wait for one connection
-MAX_PENDING_RELEASES = 1000  # for a server out of reach, or unread on a connection that may end
+# If a connection to a server that the list has removed still works after this time, another server has its
+# address
+ADDRESS_REUSE_TIMEOUT_US = SECOND
+PARTIAL_LINE_TIMEOUT_US = SECOND // 4  # from the first byte of a line to its end
+# A server is given up this long after the end of its lease if received data is still unread
+UNREAD_GRACE_US = SECOND // 4
+MAX_BACKOFF_WITH_SESSIONS_US = SECOND  # between two connects to a server at which sessions stand
+MAX_QUEUED_MESSAGES = 1000  # for one connection
+# For a server that can't be reached, or that may not have read them on a connection that ended
+MAX_PENDING_RELEASES = 1000
 log = structlog.get_logger("servers")
 
 
 class LinkOwner(MessageOwner, Connections, Protocol):
-    """What a link needs of the shell that owns all of them."""
+    """What a link needs of the object that owns all links."""
 
     random: Random
     setups_enabled: bool
@@ -49,12 +52,15 @@
     def mark_used(self, link: "ServerLink") -> None: ...
     def make_room(self) -> bool: ...
     def connect_delay(self) -> int: ...
-    def end_sessions(self, link: "ServerLink", why: str, standing_since: int | None = None) -> None: ...
+    def end_sessions(self, link: "ServerLink", reason: str, standing_since: int | None = None) -> None: ...
 
 
 @dataclass(slots=True, eq=False)
 class ServerLink:
-    """What a front holds towards one server."""
+    """The state of a front towards one server. Times are in microseconds.
+
+    `queued` are messages that wait for a connection, `pending_releases` sessions whose release is sent first
+    on the next connection, `gone_since` is when the list was found to have removed a connected server."""
 
     servers: LinkOwner
     number: int
@@ -62,7 +68,7 @@
     connection: ServerConnection | None = None
     connect_task: asyncio.Task[None] | None = None
     queued: list[Outgoing] = field(default_factory=list)
-    pending_releases: dict[str, None] = field(default_factory=dict)  # for the next connection
+    pending_releases: dict[str, None] = field(default_factory=dict)
     last_used_at: int = 0
     gone_since: int | None = None
     connect_timer: asyncio.TimerHandle | None = None
@@ -78,7 +84,8 @@
         self.messages = ServerMessages(self)
 
     def send(self, item: Outgoing) -> None:
-        """Write a message, or keep it until the connection is there; a SETUP, until all is read."""
+        """Write a message, or queue it: a SETUP until all received data is read, any other message until
+        there is a connection."""
         self.last_used_at = clock()
         self.servers.mark_used(self)
         if self.connection is not None and not isinstance(item, fx.SendSetup):
@@ -95,45 +102,45 @@
 
     @property
     def needed(self) -> bool:
-        """Whether the connection carries something, or sessions play there."""
+        """Whether messages are queued or unanswered, or sessions play at the server."""
         plays = self.servers.engine.plays_at(self.number)
         return bool(self.queued or self.messages.probes or self.has_setups or plays)
 
     @property
     def has_setups(self) -> bool:
-        """Whether a SETUP is out on a connection."""
+        """Whether a SETUP is unanswered on any connection."""
         in_use = self.connection is not None and self.connection.setups
         return bool(in_use or self.refresh.has_setups)
 
     @property
     def active(self) -> bool:
-        """Whether time alone can bring something here."""
+        """Whether `tick` has something to check here."""
         connects = (
             self.connection is not None or self.connect_task is not None or self.connect_timer is not None
         )
         return bool(connects or self.pending_releases or self.refresh.retiring or self.needed)
 
     def send_queued(self) -> None:
-        """What waits may go out, each message for itself."""
+        """Schedule each queued message to be sent."""
         for item in self.queued:
             self._send_after_pending_reads(item)
 
     def _send_after_pending_reads(self, item: Outgoing) -> None:
-        """It goes out once all that has come by now is read: its viewer may have left, or its server drain,
-        with the message that says so unread."""
+        """Send a queued message once all data received so far is read: it may say that the viewer has left
+        or that the server drains."""
         if self.servers.setups_enabled:
             once_read(lambda: self._send_queued_item(item))
 
     def _send_queued_item(self, item: Outgoing) -> None:
         if self.connection is None:
             return
-        place = next((at for at, one in enumerate(self.queued) if one is item), None)
-        if place is not None:
-            del self.queued[place]
+        index = next((index for index, queued in enumerate(self.queued) if queued is item), None)
+        if index is not None:
+            del self.queued[index]
             self.messages.write(self.connection, item)
 
     def connect(self) -> None:
-        """Connect now or, after failures, once the backoff allows it: what waits is answered by then."""
+        """Connect now. While the backoff after failures lasts, fail the queued messages instead."""
         if self.connection is not None or self.connect_task is not None:
             return
         if self._backoff_wait(clock()):
@@ -152,14 +159,15 @@
             self.servers.mark_used(self)
 
     def _backoff_wait(self, now: int) -> int:
-        """How long the next connect has to wait: where sessions stand they must be heard of in time."""
+        """The time until the next connect is allowed, which is shorter where sessions stand: their server
+        has to be heard within the lease."""
         if self.servers.engine.plays_at(self.number):
             return self.backoff.wait(now, MAX_BACKOFF_WITH_SESSIONS_US)
         return self.backoff.wait(now)
 
     def connect_staggered(self) -> None:
-        """Connect after this front's part of a connect timeout: fronts that lost a server together do not
-        connect to it together. No SETUP waits for it."""
+        """Connect after this front's connect delay, so that fronts that lost a server at the same time do
+        not all connect to it at once. Not for SETUPs, which do not wait that long."""
         if self.connection is None and self.connect_task is None and self.connect_timer is None:
             self.servers.mark_used(self)
             wait = max(self.servers.connect_delay(), self._backoff_wait(clock()) + 1) / SECOND
@@ -176,9 +184,9 @@
 
     async def _connect(self) -> None:
         host, _, port = self.entry.address.rpartition(":")
-        connection, limit = ServerConnection(self), self.servers.connect_timeout / SECOND
+        connection, timeout_s = ServerConnection(self), self.servers.connect_timeout / SECOND
         try:
-            opened = await connect_within(limit, host, int(port))
+            opened = await connect_within(timeout_s, host, int(port))
             await asyncio.get_running_loop().create_connection(lambda: connection, sock=opened)
         except (OSError, TimeoutError) as problem:
             self.connect_task = None
@@ -208,26 +216,27 @@
         self.servers.count("connected")
         self.log_connection("connection-opened", connection)
         unproven = self.lease.connected(clock()) or self.refresh.completeness.doubted_from is not None
-        asks = unproven and self.servers.engine.plays_at(self.number)
+        request_sign = unproven and self.servers.engine.plays_at(self.number)
         pending, self.pending_releases = self.pending_releases, {}
         for sess in pending:
             connection.release(clock(), sess)
-        if asks:
+        if request_sign:
             self.request_sign_of_life(connection)
         self.send_queued()
 
     def request_sign_of_life(self, connection: ServerConnection) -> None:
-        """Ask the server whether it lives."""
+        """Send a probe that any live server answers, without a load report."""
         self.lease.asked(clock())
         self.servers.count("sign-asked")
         connection.write(codec.encode_probe(self.servers.new_id(), False))
 
     def log_connection(self, event: str, connection: ServerConnection, **more: object) -> None:
-        """A line about a connection."""
+        """Log an event of a connection, with the server and the connection's number."""
         log.info(event, server=server_id(self.number), connection=connection.number, **more)
 
     def open_extra_connection(self) -> bool:
-        """Open a connection beside the one in use. False where there is none, or no room for another."""
+        """Open a further connection beside the one in use. Returns False if there is none in use, a connect
+        is in progress, the server is gone, or the limit of connections is reached."""
         if self.connection is None or self.connect_task is not None or self.entry.state == "gone":
             return False
         if not self.servers.make_room():
@@ -237,37 +246,39 @@
         return True
 
     def switch_to(self, connection: ServerConnection) -> ServerConnection | None:
-        """This connection is in use from now on; returns the one that was."""
+        """Use this connection from now on. Returns the previous one."""
         old, self.connection = self.connection, connection
         return old
 
     def resend_release(self, now: int, sess: str) -> None:
-        """A release that may not have been read goes out on the connection in use, or on the next."""
+        """Send a release again that the server may not have read."""
         self.servers.count("releases-repeated")
         self.release(now, sess)
 
     def release(self, now: int, sess: str) -> None:
-        """A release goes out on the connection in use, or on the next."""
+        """Send a release on the connection in use, or queue it for the next one."""
         if self.connection is not None:
             self.connection.release(now, sess)
         else:
             self.queue_release(sess)
 
     def end_unproven_sessions(self, now: int, standing_since: int) -> None:
-        """What the sessions that have stood so long may have missed is overdue: they are over."""
+        """Release and end the sessions that have stood since `standing_since` or longer: it was not proven
+        within the limit that no message about them was missed."""
         for held in self.servers.engine.playing_at(self.number):
             if held.standing_since <= standing_since:
                 self.release(now, held.sess)
         self.servers.end_sessions(self, "unproven", standing_since)
 
     def _connect_out_of_resources(self, problem: OSError) -> None:
-        """The machine gives us no connection: nothing ran, and the server is not to blame."""
+        """This machine lacked a descriptor or memory for the connection; that is no failure of the server."""
         self.servers.count("no-descriptor")
         log.warning("no-descriptor", server=server_id(self.number), why=str(problem))
         self._fail_queued(ev.Result.MOOT)
 
     def _server_unreachable(self, problem: Exception) -> None:
-        """No connection came up: nothing that waited for it ran. Refused, the process is dead."""
+        """A connect failed, so no queued message was processed. If it was refused, the process is dead and
+        its sessions are over."""
         now = clock()
         self.backoff.failed(now)
         if isinstance(problem, ConnectionRefusedError):
@@ -277,22 +288,22 @@
             self.queued = [item for item in self.queued if not isinstance(item, fx.SendTeardown)]
             self.servers.end_sessions(self, "refused")
         else:
-            what = "late" if isinstance(problem, TimeoutError) else "failed"
-            self.servers.count(f"connect-{what}")
-            self.lease.note(now, Sign.BROKEN, f"connect {what}")
+            failure = "late" if isinstance(problem, TimeoutError) else "failed"
+            self.servers.count(f"connect-{failure}")
+            self.lease.note(now, Sign.BROKEN, f"connect {failure}")
         self._fail_queued(ev.Result.CONNECT_FAILED)
 
-    def _fail_queued(self, why: ev.Result) -> None:
-        """What waits is answered as never sent; releases wait for the next connection."""
-        waiting, self.queued = self.queued, []
-        for item in waiting:
+    def _fail_queued(self, result: ev.Result) -> None:
+        """Fail all queued messages as not sent; keep releases for the next connection."""
+        queued, self.queued = self.queued, []
+        for item in queued:
             if isinstance(item, fx.SendTeardown):
                 self.queue_release(item.sess)
             else:
-                self.servers.fail_unsent(item, why)
+                self.servers.fail_unsent(item, result)
 
     def queue_release(self, sess: str) -> None:
-        """A release that can't be sent now goes out first on the next connection."""
+        """Keep a release for the next connection, on which it is sent first."""
         self.servers.mark_used(self)
         if len(self.pending_releases) < MAX_PENDING_RELEASES:
             self.pending_releases[sess] = None
@@ -300,23 +311,23 @@
             self.servers.count("too-many-pending-releases")
 
     def withdraw_setup(self, sess: str, attempt: int) -> bool:
-        """Take back a SETUP that has not gone out yet."""
+        """Remove a SETUP that is still queued. Returns whether there was one."""
         kept = [
-            one
-            for one in self.queued
-            if not (isinstance(one, fx.SendSetup) and (one.sess, one.attempt) == (sess, attempt))
+            item
+            for item in self.queued
+            if not (isinstance(item, fx.SendSetup) and (item.sess, item.attempt) == (sess, attempt))
         ]
-        found = len(kept) < len(self.queued)
+        withdrawn = len(kept) < len(self.queued)
         self.queued = kept
-        return found
+        return withdrawn
 
     def handle_line(self, connection: ServerConnection, line: bytes) -> None:
-        """A line has come. Raises UnreadableError for one that is no message."""
+        """Process a received line. Raises UnreadableError if it is not a valid message."""
         if self.connection is connection or self.refresh.owns(connection):
             self.messages.handle_line(connection, line)
 
     def message_received(self, now: int, connection: ServerConnection) -> None:
-        """A message came: the server lives, and what it had to say may be proven heard."""
+        """Renew the lease, and note what the message proves about missed messages."""
         silent_for = now - (self.lease.proven_at or now)
         connection.received_message = True
         self.lease.heard(now)
@@ -325,20 +336,21 @@
         self.refresh.message_received(now, connection, silent_for)
 
     def request_timed_out(self, now: int, since: int) -> None:
-        """Something had no answer in its time. Doubt, if nothing at all has come since."""
-        heard_at = self.lease.proven_at or 0
-        if heard_at <= since:
-            self.refresh.completeness.doubt(now, heard_at)
-
-    def protocol_error(self, connection: ServerConnection, why: str) -> None:
-        """What came is no message: nothing on this connection can be believed any more."""
+        """A message sent at `since` had no answer in its time. If nothing was received since then, earlier
+        messages of the server may be lost too."""
+        last_message_at = self.lease.proven_at or 0
+        if last_message_at <= since:
+            self.refresh.completeness.doubt(now, last_message_at)
+
+    def protocol_error(self, connection: ServerConnection, reason: str) -> None:
+        """End a connection on which invalid data was received: nothing that follows can be trusted."""
         if self.connection is connection:
             self.servers.count("spoilt")
             self._back_off_after_protocol_error(connection)
-            self.lease.note(clock(), Sign.NO_MESSAGE, why[:80])
-            self._end_connection(connection, f"spoilt: {why}")
+            self.lease.note(clock(), Sign.NO_MESSAGE, reason[:80])
+            self._end_connection(connection, f"protocol error: {reason}")
         else:
-            self.refresh.connection_ended(connection, f"spoilt: {why}")
+            self.refresh.connection_ended(connection, f"protocol error: {reason}")
 
     def _back_off_after_protocol_error(self, connection: ServerConnection) -> None:
         now = clock()
@@ -347,32 +359,32 @@
         else:
             self.backoff.failed(now, SPOILT_WAIT)
 
-    def fail_connections(self, why: str) -> None:
-        """No connection to the server is of any use any more."""
-        self.refresh.end_all(why)
+    def fail_connections(self, reason: str) -> None:
+        """End all connections to the server as broken."""
+        self.refresh.end_all(reason)
         if self.connection is not None:
-            self.connection_failed(self.connection, why)
+            self.connection_failed(self.connection, reason)
 
-    def close_connection(self, connection: ServerConnection, why: str) -> None:
-        """The connection is sound and not needed: what was written to it still leaves."""
+    def close_connection(self, connection: ServerConnection, reason: str) -> None:
+        """Close a working connection that is not needed; data already written to it is still sent."""
         self.refresh.drop_candidate()
         if connection.transport is not None:
             connection.transport.close()
-        self._end_connection(connection, why)
+        self._end_connection(connection, reason)
 
-    def connection_failed(self, connection: ServerConnection, why: str) -> None:
-        """The connection is of no use any more: its SETUPs are lost, sessions that play are not."""
+    def connection_failed(self, connection: ServerConnection, reason: str) -> None:
+        """End a connection that has broken: its SETUPs are lost, sessions that play are not."""
         now = clock()
         if self.connection is not connection:
-            self.refresh.connection_ended(connection, why)
+            self.refresh.connection_ended(connection, reason)
             return
         if connection.failed_early(now):
             self.backoff.failed(now)
         elif connection.was_useful(now):
             self.backoff.succeeded()
-        self._end_connection(connection, why)
+        self._end_connection(connection, reason)
 
-    def _end_connection(self, connection: ServerConnection, why: str) -> None:
+    def _end_connection(self, connection: ServerConnection, reason: str) -> None:
         connection.abort()
         if self.connection is not connection:
             return
@@ -380,23 +392,23 @@
         self.connection = None
         self.servers.open_links.pop(self, None)
         self.servers.count("connection-ended")
-        self.lease.note(now, Sign.BROKEN, why[:80])
-        tests = self.messages.take_pending_probes()
-        unheard = connection.unconfirmed_releases(now, self.refresh.completeness.doubted_from)
-        for sess in unheard:
+        self.lease.note(now, Sign.BROKEN, reason[:80])
+        probes = self.messages.take_pending_probes()
+        unconfirmed = connection.unconfirmed_releases(now, self.refresh.completeness.doubted_from)
+        for sess in unconfirmed:
             self.servers.count("releases-repeated")
             self.queue_release(sess)
         self.log_connection(
-            "connection-broke", connection, why=why, setups=len(connection.setups), tests=len(tests)
+            "connection-broke", connection, why=reason, setups=len(connection.setups), tests=len(probes)
         )
         if (candidate := self.refresh.detach_candidate()) is not None:
             self._connection_established(candidate)
         self.fail_setups(connection)
-        for began in tests:
-            self.servers.probe_answered(self.number, now - began, ev.Result.RESET, {})
+        for sent_at in probes:
+            self.servers.probe_answered(self.number, now - sent_at, ev.Result.RESET, {})
         if self.queued and self.connection is None:
             self.connect()
-        elif unheard:
+        elif unconfirmed:
             self.connect_staggered()
         if self.servers.engine.plays_at(self.number):
             if self.entry.state == "gone":
@@ -405,21 +417,22 @@
                 self.connect_staggered()
 
     def fail_setups(self, connection: ServerConnection) -> None:
-        """The SETUPs that are out on a connection have ended with it."""
+        """Tell the engine that the unanswered SETUPs of a connection ended with it."""
         setups, connection.setups = connection.setups, {}
-        for sess, out in setups.items():
-            self.servers.setup_answered(sess, out.attempt, self.number, ev.Result.RESET, {})
+        for sess, setup in setups.items():
+            self.servers.setup_answered(sess, setup.attempt, self.number, ev.Result.RESET, {})
 
     def tick(self, now: int, idle: int) -> None:
-        """What time alone brings: a lease that ends, partial lines, idle connections, connections wanted."""
+        """Check what depends on time: the lease, missing and idle connections, partial lines. `idle` is the
+        time in microseconds after which an unused connection is closed."""
         connection, plays = self.connection, self.servers.engine.plays_at(self.number)
         if connection is None and (plays or self.pending_releases):
             self.connect_staggered()
         if connection is not None and plays and self.entry.state == "gone":
-            # A new server that has taken the address answers for the one that has gone
+            # A new server that has taken the address answers in place of the one that is gone
             self.gone_since = self.gone_since or now
             if now - self.gone_since > ADDRESS_REUSE_TIMEOUT_US:
-                self.connection_failed(connection, "gone, and something answers there")
+                self.connection_failed(connection, "server is gone from the list, but its address answers")
                 return
         self.refresh.tick(now, plays or self.has_setups)
         self._check_lease(now, plays)
@@ -432,11 +445,11 @@
             self.lease.unused(now)
             return
         due = self.lease.look(now, connection is not None)
-        # What has come is read first: this process may have stood meanwhile
+        # This process may have been paused: received data that it has not read yet is read first
         unread = connection is not None and has_unread(connection.transport)
         if due is Due.ASK and connection is not None and not unread:
             if self.refresh.begin(now, sign_wanted=True):
-                self.lease.asked(now)  # on the new connection, as it comes up
+                self.lease.asked(now)  # the request is sent when the new connection is open
             else:
                 self.request_sign_of_life(connection)
         elif due is Due.GIVE_UP and not (unread and now <= self.lease.expires_at + UNREAD_GRACE_US):
@@ -452,23 +465,24 @@
         ):
             self.close_connection(connection, "idle")
 
-    def give_up(self, now: int, why: str) -> None:
-        """Nothing proves that the sessions there stand: they are over, and owed a release at the server."""
-        self.fail_connections(why)
+    def give_up(self, now: int, reason: str) -> None:
+        """End all connections and sessions of a server whose lease is over, and queue the sessions' releases
+        in case the server still lives."""
+        self.fail_connections(reason)
         for held in self.servers.engine.playing_at(self.number):
             self.queue_release(held.sess)
-        self.servers.end_sessions(self, why)
+        self.servers.end_sessions(self, reason)
 
     @property
     def unsent(self) -> bool:
-        """Whether something is still to be written here."""
+        """Whether a message still has to be written to this server."""
         if self.queued or self.pending_releases:
             return True
         connections = (self.connection, *self.refresh.retiring)
-        return any(one is not None and one.unsent_bytes > 0 for one in connections)
+        return any(connection is not None and connection.unsent_bytes > 0 for connection in connections)
 
     def close(self) -> None:
-        """What has been written still leaves."""
+        """Close all connections; data already written to them is still sent."""
         self._cancel_connect_timer()
         connection, self.connection = self.connection, None
         if connection is not None and connection.transport is not None:
--- a/ponddoor/node/servers.py
+++ b/ponddoor/node/servers.py
@@ -1,4 +1,4 @@
-"""All media servers of one front on the platform: their links, their connections and the sessions they hold."""
+"""All media servers of one front on the platform: links, connections and the sessions that they hold."""
 
 import asyncio
 import itertools
@@ -104,7 +104,7 @@
         oldest = next(unneeded, None)
         if oldest is not None:
             assert oldest.connection is not None
-            oldest.close_connection(oldest.connection, "made room")
+            oldest.close_connection(oldest.connection, "least recently used, closed at the connection limit")
         count = len(self.open_links) + len(self.extra_connections)
         return oldest is not None or count < self.max_connections + MAX_NEEDED_OVER_LIMIT
 
@@ -183,7 +183,7 @@
             case fx.CloseIdle(server):
                 link = self.links.get(server)
                 if link is not None and link.connection is not None and not (link.has_setups or link.queued):
-                    link.close_connection(link.connection, "let go")
+                    link.close_connection(link.connection, "idle, closed on request of the engine")
             case _:
                 raise TypeError(f"{effect} is not addressed to a server")
 
