--- a/ponddoor/node/connection_refresh.py
+++ b/ponddoor/node/connection_refresh.py
@@ -1,5 +1,8 @@
-"""The connections to one server beside the one in use: one that is opened to prove that nothing was missed,
-and those that were replaced, which end once nothing is out on them."""
+"""The connections of a link beside the one in use.
+
+A refresh opens a candidate connection, to prove that no message of the server was missed. When the server
+sends a message on the candidate, the candidate replaces the connection in use. A replaced connection is kept
+as retiring until no SETUP is unanswered on it."""
 
 from dataclasses import dataclass, field
 from typing import Protocol
@@ -11,19 +14,20 @@
 from ponddoor.obligations.lease import Lease
 from ponddoor.web.unread import has_unread
 
-CANDIDATE_TIMEOUT_US = SECOND  # for a server that says nothing anywhere: what it was asked may be lost
-HALF_CLOSE_TIMEOUT_US = SECOND  # from the end of our side to that of the server's
+# For a candidate of a server that is silent on all connections: the request sent on it may be lost
+CANDIDATE_TIMEOUT_US = SECOND
+HALF_CLOSE_TIMEOUT_US = SECOND  # from closing our direction of a connection until the server closes its own
 MAX_RETIRING = 2
 
 
 class Connections(Protocol):
-    """What a refresh needs of the shell that owns all links."""
+    """What a refresh needs of the object that owns all links."""
 
     engine: Engine
     connect_timeout: int
     extra_connections: dict[ServerConnection, None]
 
-    def count(self, what: str) -> None: ...
+    def count(self, event: str) -> None: ...
 
 
 class RefreshedLink(Protocol):
@@ -45,7 +49,7 @@
 
 @dataclass(slots=True)
 class Retirement:
-    """A connection that was replaced."""
+    """When a connection was replaced, and when our direction of it was closed; in microseconds."""
 
     since: int
     half_closed_at: int | None = None
@@ -53,37 +57,37 @@
 
 @dataclass(slots=True)
 class ConnectionRefresh:
-    """Of one link, which tells it what happens on these connections."""
+    """The candidate and the retiring connections of one link, which passes their events on to it."""
 
     link: RefreshedLink
     completeness: Completeness
     candidate: ServerConnection | None = None
     retiring: dict[ServerConnection, Retirement] = field(default_factory=dict)
-    _sign_wanted: bool = False  # whatever else proves it
+    _sign_wanted: bool = False  # request a sign of life even if the open connection is proof enough
 
-    # What may be looked at
+    # Queries
 
     def owns(self, connection: ServerConnection) -> bool:
-        """Whether it is one of these."""
+        """Whether the connection is the candidate or a retiring one."""
         return connection is self.candidate or connection in self.retiring
 
     @property
     def has_setups(self) -> bool:
-        """Whether a SETUP is out on a connection that was replaced."""
-        return any(one.setups for one in self.retiring)
+        """Whether a SETUP is unanswered on a retiring connection."""
+        return any(connection.setups for connection in self.retiring)
 
     def connection_of_setup(self, sess: str, attempt: int) -> ServerConnection | None:
-        """The replaced connection on which a SETUP is out."""
-        for one in self.retiring:
-            if (out := one.setups.get(sess)) is not None and out.attempt == attempt:
-                return one
+        """The retiring connection on which this attempt is unanswered."""
+        for connection in self.retiring:
+            if (setup := connection.setups.get(sess)) is not None and setup.attempt == attempt:
+                return connection
         return None
 
-    # A refresh
+    # The candidate
 
     def begin(self, now: int, sign_wanted: bool = False) -> bool:
-        """Open a connection to hear what may have been missed, and, if wanted, a sign of life. False where
-        there is no room for it."""
+        """Open a candidate, and request a sign of life on it in any case if `sign_wanted`. Returns False if
+        there is a candidate already or no further connection is possible."""
         if (
             self.candidate is not None
             or len(self.retiring) >= MAX_RETIRING
@@ -96,7 +100,7 @@
         return True
 
     def candidate_opened(self, candidate: ServerConnection) -> None:
-        """It came up."""
+        """The candidate is established: use it at once if that is proof enough, or request a sign of life."""
         now, doubted_from = clock(), self.completeness.doubted_from
         self.candidate = candidate
         self.link.servers.extra_connections[candidate] = None
@@ -108,14 +112,14 @@
         else:
             self.link.request_sign_of_life(candidate)
 
-    def candidate_failed(self, connection: ServerConnection, why: str) -> None:
-        """It has proven nothing."""
+    def candidate_failed(self, connection: ServerConnection, reason: str) -> None:
+        """The candidate could not be opened, or ended before it proved anything."""
         self.link.servers.count("refreshes-failed")
-        self.link.log_connection("refresh-failed", connection, why=why)
+        self.link.log_connection("refresh-failed", connection, why=reason)
         self.completeness.refresh_failed(clock(), connection.opened_at, self.link.lease.proven_at or 0)
 
     def message_received(self, now: int, connection: ServerConnection, silent_for: int) -> None:
-        """A message came on any connection to the server, after a silence of this length."""
+        """A message was received on any connection to the server, after `silent_for` microseconds without."""
         on_refresh = connection is self.candidate
         if on_refresh:
             self._promote(now, connection)
@@ -127,7 +131,8 @@
             self.begin(now)
 
     def _promote(self, now: int, candidate: ServerConnection) -> None:
-        """The server speaks on the new connection: it takes the place of the one in use."""
+        """Use the candidate instead of the connection in use, which retires. If that one is doubted, the
+        releases that may be lost on it are sent again."""
         self.detach_candidate()
         self.link.servers.count("connections-replaced")
         self.link.log_connection("connection-in-use", candidate, age_ms=candidate.age(now) // 1000)
@@ -142,31 +147,33 @@
                 self.link.resend_release(now, sess)
 
     def detach_candidate(self) -> ServerConnection | None:
-        """The new connection, which is none of these any more."""
+        """Stop managing the candidate, and return it."""
         candidate, self.candidate = self.candidate, None
         if candidate is not None:
             self.link.servers.extra_connections.pop(candidate, None)
         return candidate
 
     def drop_candidate(self) -> None:
-        """The new connection is not wanted any more."""
+        """Abort the candidate."""
         if (candidate := self.detach_candidate()) is not None:
             candidate.abort()
 
     # Ends
 
     def forget_release(self, sess: str) -> None:
-        """A session is set up anew: its earlier release must not be repeated."""
-        for one in self.retiring:
-            one.unacknowledged_releases.pop(sess, None)
+        """A new SETUP for this session is sent: an earlier release of it must not be sent again."""
+        for connection in self.retiring:
+            connection.unacknowledged_releases.pop(sess, None)
 
-    def connection_ended(self, connection: ServerConnection, why: str) -> None:
-        """One of these connections has ended, or is of no use any more."""
+    def connection_ended(self, connection: ServerConnection, reason: str) -> None:
+        """Stop managing a connection that has ended or broken, and abort it."""
         if connection is self.candidate:
             self.detach_candidate()
-            self.candidate_failed(connection, why)
+            self.candidate_failed(connection, reason)
         elif self.retiring.pop(connection, None) is not None:
-            self.link.log_connection("connection-ended", connection, why=why, setups=len(connection.setups))
+            self.link.log_connection(
+                "connection-ended", connection, why=reason, setups=len(connection.setups)
+            )
             self.link.servers.extra_connections.pop(connection, None)
             self.link.fail_setups(connection)
             now = clock()
@@ -174,14 +181,14 @@
                 self.link.resend_release(now, sess)
         connection.abort()
 
-    def end_all(self, why: str) -> None:
-        """None of these is of any use any more."""
+    def end_all(self, reason: str) -> None:
+        """End the candidate and all retiring connections as broken."""
         self.drop_candidate()
         for connection in list(self.retiring):
-            self.connection_ended(connection, why)
+            self.connection_ended(connection, reason)
 
     def close(self) -> None:
-        """What has been written still leaves."""
+        """Close all these connections; data already written to them is still sent."""
         for connection in (self.detach_candidate(), *self.retiring):
             if connection is not None and connection.transport is not None:
                 connection.transport.close()
@@ -192,7 +199,7 @@
     # Time
 
     def tick(self, now: int, in_use: bool) -> None:
-        """What time alone brings; `in_use` is whether anything depends on the server."""
+        """Check what depends on time; `in_use` is whether sessions or SETUPs depend on the server."""
         self._check_retiring(now)
         if not in_use:
             self.completeness.unused(now)
@@ -202,7 +209,7 @@
         if candidate is not None and self._has_timed_out(now, candidate):
             if has_unread(candidate.transport):
                 return
-            self.connection_ended(candidate, "no answer on it")
+            self.connection_ended(candidate, "no message on the new connection in time")
         standing_since = self.link.servers.engine.standing_since(self.link.number)
         if self.completeness.refresh_due(now, standing_since):
             self.begin(now)
@@ -211,17 +218,19 @@
             self.link.end_unproven_sessions(now, over_since)
 
     def _has_timed_out(self, now: int, candidate: ServerConnection) -> bool:
-        """Whether it has proven nothing in its time: less where the server speaks on another connection."""
-        heard_at = self.link.lease.proven_at or 0
-        speaks_elsewhere = candidate.established_at is not None and heard_at > candidate.established_at
-        return candidate.age(now) > (PROOF_WITHIN if speaks_elsewhere else CANDIDATE_TIMEOUT_US)
+        """Whether the candidate has had no message in its time, which is shorter if the server has sent
+        messages on another connection meanwhile."""
+        last_message_at = self.link.lease.proven_at or 0
+        heard_elsewhere = candidate.established_at is not None and last_message_at > candidate.established_at
+        return candidate.age(now) > (PROOF_WITHIN if heard_elsewhere else CANDIDATE_TIMEOUT_US)
 
     def _check_retiring(self, now: int) -> None:
-        """End what nothing is out on: a test is answered, or late, within a connect timeout."""
+        """Close retiring connections without unanswered SETUPs. A connect timeout after their replacement,
+        no probe on them is unanswered either."""
         for connection, retirement in list(self.retiring.items()):
             if retirement.half_closed_at is None:
                 if not connection.setups and now - retirement.since > self.link.servers.connect_timeout:
                     connection.half_close()
                     retirement.half_closed_at = now
             elif now - retirement.half_closed_at > HALF_CLOSE_TIMEOUT_US:
-                self.connection_ended(connection, "does not end")
+                self.connection_ended(connection, "server did not close it in time")
--- a/ponddoor/node/server_codec.py
+++ b/ponddoor/node/server_codec.py
@@ -1,4 +1,6 @@
-"""The JSON lines of servers, free of I/O: the platform's protocol page has each. Its words live here."""
+"""Encodes and decodes the JSON lines that nodes and media servers exchange, without I/O.
+
+The platform's protocol page describes each message. Keys and kinds of the wire occur only in this module."""
 
 import math
 import re
@@ -11,7 +13,7 @@
 from ponddoor.node.lines import UnreadableError
 from ponddoor.platform.facts import report_field_name
 
-MAX_LINE_BYTES = 16_384  # bytes of a line
+MAX_LINE_BYTES = 16_384
 _SESSION_ID = re.compile("[0-9a-f]{16}")
 _GIVEN_UP, _ENDED_BY_VIEWER, _WITH_REPORT = 16, 31, 1
 _RESULT_OF_FAILED_SETUP = {34: ev.Result.FULL, 47: ev.Result.ERROR, 102: ev.Result.MOOT}
@@ -27,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SetupAccepted:
-    """A SETUP is answered: the session plays, with what the server gave for the viewer."""
+    """A SETUP succeeded: the session plays. `passed` is the description to pass on to the viewer."""
 
     sess: str
     passed: str
@@ -35,20 +37,22 @@
 
 @dataclass(frozen=True, slots=True)
 class SessionEnded:
-    """A SETUP failed (`before`), or the session it began is over (`after`, a word of the engine)."""
+    """A SETUP failed, with `setup_result`, or the session is over, for `end_reason` (a value of the engine).
+
+    Which of the two is meant depends on whether the SETUP has been answered."""
 
     sess: str
-    before: ev.Result
-    after: str
+    setup_result: ev.Result
+    end_reason: str
     report: dict[str, float]
 
 
 @dataclass(frozen=True, slots=True)
 class ProbeAnswered:
-    """A probe is answered."""
+    """The answer to a probe, of which `sess` is the id."""
 
     sess: str
-    well: bool
+    healthy: bool
     report: dict[str, float]
 
 
@@ -62,16 +66,18 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ReleaseAcknowledged:
-    """A release is acknowledged."""
+class ReleaseAck:
+    """The acknowledgement of a release."""
 
     sess: str
 
 
-Message = SetupAccepted | SessionEnded | ProbeAnswered | SessionNote | ReleaseAcknowledged
+Message = SetupAccepted | SessionEnded | ProbeAnswered | SessionNote | ReleaseAck
 
 
 class _Line(msgspec.Struct, frozen=True):
+    """A line of the wire: kind `t`, session or probe `ref`, fields `f`, code `c`, description `d`."""
+
     t: str
     ref: str
     f: dict[str, str | int | float] = {}
@@ -80,51 +86,54 @@
 
 
 def decode_line(line: bytes) -> Message | None:
-    """What a line says; None for what is of no interest. Raises UnreadableError."""
+    """Decode a line; None for a message that nodes ignore. Raises UnreadableError."""
     try:
-        got = msgspec.json.decode(line, type=_Line)
+        message = msgspec.json.decode(line, type=_Line)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as problem:
-        raise UnreadableError(f"no message: {str(problem)[:80]}") from None
-    if not _SESSION_ID.fullmatch(got.ref):
-        raise UnreadableError("no id of a session")
-    match got.t:
+        raise UnreadableError(f"not a server message: {str(problem)[:80]}") from None
+    if not _SESSION_ID.fullmatch(message.ref):
+        raise UnreadableError(f"ref {message.ref[:20]!r} is not an id of 16 hexadecimal digits")
+    match message.t:
         case "up":
-            if got.d is None:
-                raise UnreadableError("an answer without a description")
-            return SetupAccepted(got.ref, got.d)
+            if message.d is None:
+                raise UnreadableError("answer to a SETUP without a description")
+            return SetupAccepted(message.ref, message.d)
         case "down":
-            if got.c is None:
-                raise UnreadableError("an end without a cause")
-            before = _RESULT_OF_FAILED_SETUP.get(got.c, ev.Result.RESET)
+            if message.c is None:
+                raise UnreadableError("end of a session without a code")
+            setup_result = _RESULT_OF_FAILED_SETUP.get(message.c, ev.Result.RESET)
             return SessionEnded(
-                got.ref, before, _REASON_OF_ENDED_SESSION.get(got.c, "lost"), _report(got.f.get("load"))
+                message.ref,
+                setup_result,
+                _REASON_OF_ENDED_SESSION.get(message.c, "lost"),
+                _report(message.f.get("load")),
             )
         case "hb_ok":
-            return ProbeAnswered(got.ref, got.c == 1, _report(got.f.get("load")))
+            return ProbeAnswered(message.ref, message.c == 1, _report(message.f.get("load")))
         case "tell":
-            return _session_note(got)
+            return _session_note(message)
         case "ack":
-            return ReleaseAcknowledged(got.ref)
-    if got.t not in _IGNORED_KINDS:
-        raise UnreadableError("a message of no known kind")
+            return ReleaseAck(message.ref)
+    if message.t not in _IGNORED_KINDS:
+        raise UnreadableError(f"unknown message kind {message.t[:20]!r}")
     return None
 
 
-def _session_note(got: _Line) -> SessionNote | None:
-    kind = _NOTE_KINDS.get(str(got.f.get("note")))
+def _session_note(message: _Line) -> SessionNote | None:
+    kind = _NOTE_KINDS.get(str(message.f.get("note")))
     try:
-        value = float(got.f.get("value", "nan"))
+        value = float(message.f.get("value", "nan"))
     except ValueError:
-        raise UnreadableError("a note without a figure") from None
+        raise UnreadableError("note whose value is not a number") from None
     if kind is None:
         return None
     if not 0 <= value < 1e6:
-        raise UnreadableError("a note without a figure")
-    return SessionNote(got.ref, kind, value)
+        raise UnreadableError(f"note with value {value}, expected 0 or more and less than 1e6")
+    return SessionNote(message.ref, kind, value)
 
 
 def _report(text: str | int | float | None) -> dict[str, float]:
-    """The figures of a report; what can't be read of it says nothing."""
+    """The values of a load report by our field names; unreadable, negative and infinite ones are left out."""
     report = {}
     for part in str(text or "").split(";"):
         name, _, figure = part.partition(":")
@@ -138,18 +147,18 @@
 
 
 def encode_setup(sess: str, ask: Ask, group: str, rung: int, timeout: int) -> bytes:
-    """A SETUP; `timeout` in microseconds."""
+    """A SETUP; `timeout` is in microseconds."""
     fields = {"class": group, "left": str(max(timeout // 1000, 1)), "key": ask.title, "rung": str(rung)}
     return _encode({"t": "new", "ref": sess, "f": fields, "d": ask.description})
 
 
 def encode_give_up(sess: str) -> bytes:
-    """A SETUP is waited for no longer."""
+    """Tells the server that a SETUP is no longer waited for."""
     return _encode({"t": "down", "ref": sess, "f": {}, "c": _GIVEN_UP})
 
 
 def encode_release(sess: str) -> bytes:
-    """A session that plays ends."""
+    """Ends a session that plays."""
     return _encode({"t": "down", "ref": sess, "f": {}, "c": _ENDED_BY_VIEWER})
 
 
@@ -157,9 +166,9 @@
     return _encode({"t": "step", "ref": sess, "f": {"rung": str(number)}})
 
 
-def encode_probe(sess: str, with_report: bool) -> bytes:
-    """A probe, with the wish for a report or as a mere sign of life."""
-    return _encode({"t": "hb", "ref": sess, "f": {}, "c": _WITH_REPORT if with_report else 0})
+def encode_probe(probe_id: str, with_report: bool) -> bytes:
+    """A probe that requests a load report, or only a sign of life."""
+    return _encode({"t": "hb", "ref": probe_id, "f": {}, "c": _WITH_REPORT if with_report else 0})
 
 
 def _encode(message: dict[str, object]) -> bytes:
--- a/ponddoor/node/server_connection.py
+++ b/ponddoor/node/server_connection.py
@@ -1,4 +1,4 @@
-"""One connection to a server on the platform: bytes to lines, and what is out on it."""
+"""One connection to a media server: splits received bytes into lines and keeps what is unanswered on it."""
 
 import asyncio
 import itertools
@@ -9,32 +9,32 @@
 from ponddoor.node import server_codec as codec
 from ponddoor.node.lines import LineReader, UnreadableError
 
-USEFUL_AFTER_US = SECOND  # a connection that ends sooner, and on which nothing was heard, has failed
-RELEASE_CONFIRMED_AFTER_US = (
-    SECOND  # a release on a connection that is open so long after has been read, if it is sound
-)
-RELEASE_RETENTION_US = 8 * SECOND  # for a connection that turns out not to be
+USEFUL_AFTER_US = SECOND  # a connection that ends sooner, without any message, counts as a failure
+# A release was read by the server if its connection, if it works, stayed open for this long afterwards
+RELEASE_CONFIRMED_AFTER_US = SECOND
+# Releases are kept for this long, in case their connection turns out not to work
+RELEASE_RETENTION_US = 8 * SECOND
 MAX_UNACKNOWLEDGED_RELEASES = 1000
 MAX_ABANDONED_SETUPS = 1000
 _numbers = itertools.count(1)
 
 
 class ConnectionOwner(Protocol):
-    """Who is told what happens on a connection."""
+    """Receives the events of a connection."""
 
     def handle_line(self, connection: "ServerConnection", line: bytes) -> None:
-        """A line has come. Raises UnreadableError for one that is no message."""
+        """A line was received. Raises UnreadableError if it is not a valid message."""
 
-    def protocol_error(self, connection: "ServerConnection", why: str) -> None:
-        """What came is no message."""
+    def protocol_error(self, connection: "ServerConnection", reason: str) -> None:
+        """Invalid data was received."""
 
-    def connection_failed(self, connection: "ServerConnection", why: str) -> None:
-        """The connection is of no use any more."""
+    def connection_failed(self, connection: "ServerConnection", reason: str) -> None:
+        """The connection is closed or broken."""
 
 
 @dataclass(frozen=True, slots=True)
 class PendingSetup:
-    """A SETUP without an answer."""
+    """A SETUP without an answer. Times are in microseconds."""
 
     attempt: int
     sent_at: int
@@ -42,22 +42,25 @@
 
 
 class ServerConnection(asyncio.Protocol):
-    """`setups` are out on it, `given_up` those an answer may still cross, `released` when sessions were
-    released on it that the server has not acknowledged."""
+    """A connection to a media server.
+
+    By session id, `setups` are the unanswered SETUPs, `abandoned_setups` the attempts that were given up
+    but whose answer may already be on its way, and `unacknowledged_releases` the times at which releases
+    were sent that the server has not acknowledged. `number` identifies the connection in the log."""
 
     def __init__(self, owner: ConnectionOwner) -> None:
         self.owner, self.lines = owner, LineReader(codec.MAX_LINE_BYTES)
-        self.number = next(_numbers)  # of this process, for the log
+        self.number = next(_numbers)
         self.transport: asyncio.Transport | None = None
         self.setups: dict[str, PendingSetup] = {}
         self.abandoned_setups: dict[str, int] = {}
         self.unacknowledged_releases: dict[str, int] = {}
-        self.partial_since: int | None = None
+        self.partial_since: int | None = None  # when the line began that is not complete yet
         self.opened_at = clock()
         self.established_at: int | None = None
-        self.received_message = False  # the server has said a message on it
-        self.aborted = False  # nothing that comes is read any more
-        self.closed_by_server = False  # the server has ended it, and so has read what was written before
+        self.received_message = False
+        self.aborted = False  # received data is ignored from then on
+        self.closed_by_server = False  # the server closed it, and so has read all that was written before
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
@@ -67,7 +70,7 @@
         now = clock()
         try:
             lines = self.lines.feed(data)
-            if lines:  # what is left has begun only now
+            if lines:  # a partial line at the end has begun only now
                 self.partial_since = None
             for line in lines:
                 if not self.aborted:
@@ -81,47 +84,47 @@
         self.owner.connection_failed(self, f"closed: {exc}")
 
     def write(self, data: bytes) -> None:
-        """Write a line."""
+        """Write an encoded line."""
         if self.transport is not None:
             self.transport.write(data)
 
     def abort(self) -> None:
-        """End it; what was not sent yet is dropped."""
+        """Close the connection and drop data that is not sent yet."""
         self.aborted = True
         if self.transport is not None:
             self.transport.abort()
 
     def half_close(self) -> None:
-        """End our side: what was written leaves, and what the server has written still comes."""
+        """Close the sending direction: written data is still sent, and the server's data still received."""
         if self.transport is not None and self.transport.can_write_eof() and not self.transport.is_closing():
             self.transport.write_eof()
 
     @property
     def unsent_bytes(self) -> int:
-        """Bytes that have not left yet."""
+        """The size of the write buffer's content."""
         return 0 if self.transport is None else self.transport.get_write_buffer_size()
 
     def was_useful(self, now: int) -> bool:
-        """Whether the server said something on it, and it lasted."""
+        """Whether a message was received on it and it lasted at least USEFUL_AFTER_US."""
         return self.received_message and now - self.opened_at >= USEFUL_AFTER_US
 
     def failed_early(self, now: int) -> bool:
-        """Whether it ends before it was of any use."""
+        """Whether no message was received on it and it lasted less than USEFUL_AFTER_US."""
         return not self.received_message and now - self.opened_at < USEFUL_AFTER_US
 
     def age(self, now: int) -> int:
-        """Since it came up (us); 0 before."""
+        """The time since it was established, in microseconds; 0 before."""
         return 0 if self.established_at is None else now - self.established_at
 
     def give_up(self, sess: str) -> None:
-        """A SETUP that is out is waited for no longer."""
+        """Tell the server that an unanswered SETUP is no longer waited for."""
         self.abandoned_setups[sess] = self.setups.pop(sess).attempt
         if len(self.abandoned_setups) > MAX_ABANDONED_SETUPS:
             del self.abandoned_setups[next(iter(self.abandoned_setups))]
         self.write(codec.encode_give_up(sess))
 
     def release(self, now: int, sess: str) -> None:
-        """A release is pending until it is acknowledged, or until the connection has outlived it."""
+        """Send a release and keep it until it is acknowledged or RELEASE_RETENTION_US old."""
         while self.unacknowledged_releases:
             oldest = next(iter(self.unacknowledged_releases))
             full = len(self.unacknowledged_releases) >= MAX_UNACKNOWLEDGED_RELEASES
@@ -132,10 +135,11 @@
         self.write(codec.encode_release(sess))
 
     def unconfirmed_releases(self, now: int, doubted_from: int | None) -> list[str]:
-        """Releases that the server may not have read; where it is doubted, all from then on."""
+        """The sessions whose release the server may not have read: those released in the last
+        RELEASE_CONFIRMED_AFTER_US, or since `doubted_from` if the connection is doubted from that time on."""
         since = (
             now - RELEASE_CONFIRMED_AFTER_US
             if doubted_from is None
             else min(doubted_from, now - RELEASE_CONFIRMED_AFTER_US)
         )
-        return [sess for sess, at in self.unacknowledged_releases.items() if at > since]
+        return [sess for sess, sent_at in self.unacknowledged_releases.items() if sent_at > since]
--- a/ponddoor/node/server_messages.py
+++ b/ponddoor/node/server_messages.py
@@ -1,4 +1,5 @@
-"""What is written to one server and what its lines mean; the codec has their form."""
+"""The messages to and from one media server: what is written, and what received lines mean. Their encoding is
+in `server_codec`."""
 
 import asyncio
 from dataclasses import dataclass, field
@@ -16,13 +17,13 @@
 from ponddoor.node.connection_refresh import ConnectionRefresh
 from ponddoor.node.server_connection import PendingSetup, ServerConnection
 
-WRITE_BUFFER_LIMIT = 1 << 18  # bytes that a server may leave unread
+MAX_UNSENT_BYTES = 1 << 18  # on one connection; beyond that its server has stopped reading
 log = structlog.get_logger("servers")
 Outgoing = fx.SendSetup | fx.SendTeardown | fx.SendRung | fx.SendProbe
 
 
 class MessageOwner(Protocol):
-    """What messages need of the shell that owns all links."""
+    """What messages need of the object that owns all links."""
 
     engine: Engine
     groups: tuple[str, ...]
@@ -30,9 +31,9 @@
 
     @property
     def apply(self) -> Apply: ...
-    def count(self, what: str) -> None: ...
+    def count(self, event: str) -> None: ...
     def new_id(self) -> str: ...
-    def fail_unsent(self, item: Outgoing, why: ev.Result) -> None: ...
+    def fail_unsent(self, item: Outgoing, result: ev.Result) -> None: ...
     def setup_answered(
         self,
         sess: str,
@@ -56,18 +57,19 @@
     def servers(self) -> MessageOwner: ...
     def message_received(self, now: int, connection: ServerConnection) -> None: ...
     def request_timed_out(self, now: int, since: int) -> None: ...
-    def connection_failed(self, connection: ServerConnection, why: str) -> None: ...
+    def connection_failed(self, connection: ServerConnection, reason: str) -> None: ...
 
 
 @dataclass(slots=True)
 class ServerMessages:
-    """The messages of one link, on whichever connection. `tests` are the probes without an answer."""
+    """The messages of one link, on all its connections. `probes` are the unanswered probes by their id, with
+    the time at which they were sent and the timer of their timeout."""
 
     link: MessageLink
     probes: dict[str, tuple[int, asyncio.TimerHandle]] = field(default_factory=dict)
 
     def write(self, connection: ServerConnection, item: Outgoing) -> None:
-        """Write what the decisions want; a server that reads nothing loses the connection."""
+        """Write the message for an effect of the engine. A connection that the server does not read fails."""
         log.debug("to-server", server=server_id(self.link.number), item=item)
         match item:
             case fx.SendSetup():
@@ -78,105 +80,106 @@
                 connection.write(codec.encode_rung(sess, rung))
             case fx.SendProbe():
                 self._send_probe(connection)
-        if connection.unsent_bytes > WRITE_BUFFER_LIMIT:
-            self.link.connection_failed(connection, "does not read")
+        if connection.unsent_bytes > MAX_UNSENT_BYTES:
+            self.link.connection_failed(connection, f"server leaves over {MAX_UNSENT_BYTES} bytes unread")
 
     def _send_setup(self, connection: ServerConnection, item: fx.SendSetup) -> None:
         servers, sess = self.link.servers, item.sess
-        if self.link.entry.state != "ready":  # it was when this was decided
+        if self.link.entry.state != "ready":  # the state has changed since the engine decided
             servers.fail_unsent(item, ev.Result.MOOT)
             return
         group = servers.groups[item.ask.service_group]
         line = codec.encode_setup(sess, item.ask, group, item.rung, item.timeout)
-        if (
-            len(line) > codec.MAX_LINE_BYTES
-        ):  # the server would end the connection, with all that is open on it
+        # The server would close a connection with a longer line, and so fail all that is open on it
+        if len(line) > codec.MAX_LINE_BYTES:
             servers.count("too-long")
             servers.fail_unsent(item, ev.Result.MOOT)
             return
-        # An end is not to be taken for that of an attempt given up here before
+        # A later end of the session must not be taken for that of an attempt that was given up here
         connection.abandoned_setups.pop(sess, None)
-        # Nor may a release of that attempt, sent again, end what is set up now
+        # A release of an earlier attempt must not be sent again: it would end the new session
         connection.unacknowledged_releases.pop(sess, None)
         self.link.refresh.forget_release(sess)
         connection.setups[sess] = PendingSetup(item.attempt, clock(), item.timeout)
         connection.write(line)
 
     def _send_probe(self, connection: ServerConnection) -> None:
-        sess, servers = self.link.servers.new_id(), self.link.servers
-        within = servers.connect_timeout / SECOND
-        limit = asyncio.get_running_loop().call_later(within, self._probe_timed_out, sess)
-        self.probes[sess] = (clock(), limit)
-        connection.write(codec.encode_probe(sess, True))
-
-    def _probe_timed_out(self, sess: str) -> None:
-        if sess in self.probes:
-            now, (began, _) = clock(), self.probes.pop(sess)
-            self.link.request_timed_out(now, began)
-            self.link.servers.probe_answered(self.link.number, now - began, ev.Result.TIMEOUT, {})
+        probe_id, servers = self.link.servers.new_id(), self.link.servers
+        timeout_s = servers.connect_timeout / SECOND
+        timer = asyncio.get_running_loop().call_later(timeout_s, self._probe_timed_out, probe_id)
+        self.probes[probe_id] = (clock(), timer)
+        connection.write(codec.encode_probe(probe_id, True))
+
+    def _probe_timed_out(self, probe_id: str) -> None:
+        if probe_id in self.probes:
+            now, (sent_at, _) = clock(), self.probes.pop(probe_id)
+            self.link.request_timed_out(now, sent_at)
+            self.link.servers.probe_answered(self.link.number, now - sent_at, ev.Result.TIMEOUT, {})
 
     def take_pending_probes(self) -> list[int]:
-        """When the probes without an answer began; they wait no longer."""
-        tests, self.probes = self.probes, {}
-        for _, limit in tests.values():
-            limit.cancel()
-        return [began for began, _ in tests.values()]
+        """Stop waiting for all unanswered probes. Returns the times at which they were sent."""
+        probes, self.probes = self.probes, {}
+        for _, timer in probes.values():
+            timer.cancel()
+        return [sent_at for sent_at, _ in probes.values()]
 
     def _send_teardown(self, connection: ServerConnection, sess: str, attempt: int) -> None:
-        """Give up a SETUP that is out, or release a session that stands."""
-        now, out = clock(), connection.setups.get(sess)
-        if out is None or out.attempt != attempt:
-            retired = self.link.refresh.connection_of_setup(sess, attempt)
-            if retired is None:
+        """Give up an unanswered SETUP, on whichever connection it was sent, or release a session."""
+        now, setup = clock(), connection.setups.get(sess)
+        if setup is None or setup.attempt != attempt:
+            retiring = self.link.refresh.connection_of_setup(sess, attempt)
+            if retiring is None:
                 connection.release(now, sess)
             else:
-                retired.give_up(sess)
+                retiring.give_up(sess)
             return
         connection.give_up(sess)
-        if now >= out.sent_at + out.timeout:
-            self.link.request_timed_out(now, out.sent_at)
+        if now >= setup.sent_at + setup.timeout:
+            self.link.request_timed_out(now, setup.sent_at)
 
     def handle_line(self, connection: ServerConnection, line: bytes) -> None:
-        """A line has come. What it says of sessions we do not know, or twice, is of no interest.
+        """Process a received line. Messages about unknown sessions and repeated messages are ignored.
 
-        Raises UnreadableError for one that is no message."""
-        said = codec.decode_line(line)
+        Raises UnreadableError if the line is not a valid message."""
+        message = codec.decode_line(line)
         self.link.message_received(clock(), connection)
-        log.debug("server-says", server=server_id(self.link.number), said=said)
-        match said:
+        log.debug("server-says", server=server_id(self.link.number), said=message)
+        match message:
             case codec.SetupAccepted(sess, passed):
                 self._setup_accepted(connection, sess, passed)
             case codec.SessionEnded():
-                self._session_ended(connection, said)
-            case codec.ReleaseAcknowledged(sess):
+                self._session_ended(connection, message)
+            case codec.ReleaseAck(sess):
                 connection.unacknowledged_releases.pop(sess, None)
-            case codec.ProbeAnswered(sess, well, report):
-                self._probe_answered(sess, ev.Result.SERVED if well else ev.Result.ERROR, report)
+            case codec.ProbeAnswered(sess, healthy, report):
+                self._probe_answered(sess, ev.Result.SERVED if healthy else ev.Result.ERROR, report)
             case codec.SessionNote(sess, kind, value):
                 servers, held = self.link.servers, self.link.servers.engine.find(sess)
                 if held is not None and held.server == self.link.number:
                     servers.apply(lambda now: servers.engine.note_on(now, sess, kind, value))
 
     def _setup_accepted(self, connection: ServerConnection, sess: str, passed: str) -> None:
-        out = connection.setups.pop(sess, None)
-        attempt = connection.abandoned_setups.pop(sess, None) if out is None else out.attempt
+        setup = connection.setups.pop(sess, None)
+        attempt = connection.abandoned_setups.pop(sess, None) if setup is None else setup.attempt
         if attempt is not None:
             self.link.servers.setup_answered(sess, attempt, self.link.number, None, {}, passed)
 
-    def _session_ended(self, connection: ServerConnection, said: codec.SessionEnded) -> None:
+    def _session_ended(self, connection: ServerConnection, message: codec.SessionEnded) -> None:
         """A SETUP has failed, or a session that stood is over."""
-        servers, sess = self.link.servers, said.sess
-        if (out := connection.setups.pop(sess, None)) is not None:
-            servers.setup_answered(sess, out.attempt, self.link.number, said.before, said.report)
+        servers, sess = self.link.servers, message.sess
+        if (setup := connection.setups.pop(sess, None)) is not None:
+            servers.setup_answered(
+                sess, setup.attempt, self.link.number, message.setup_result, message.report
+            )
             return
-        was_given_up = connection.abandoned_setups.pop(sess, None) is not None
+        was_abandoned = connection.abandoned_setups.pop(sess, None) is not None
         held = servers.engine.find(sess)
-        if not was_given_up and held is not None and held.server == self.link.number:
+        if not was_abandoned and held is not None and held.server == self.link.number:
             attempt = held.attempt
-            servers.apply(lambda now: servers.engine.stream_ended(now, sess, attempt, said.after))
+            servers.apply(lambda now: servers.engine.stream_ended(now, sess, attempt, message.end_reason))
 
-    def _probe_answered(self, sess: str, result: ev.Result, report: dict[str, float]) -> None:
-        if sess in self.probes:
-            began, limit = self.probes.pop(sess)
-            limit.cancel()
-            self.link.servers.probe_answered(self.link.number, clock() - began, result, report)
+    def _probe_answered(self, probe_id: str, result: ev.Result, report: dict[str, float]) -> None:
+        if probe_id in self.probes:
+            sent_at, timer = self.probes.pop(probe_id)
+            timer.cancel()
+            self.link.servers.probe_answered(self.link.number, clock() - sent_at, result, report)
