--- a/ponddoor/node/board.py
+++ b/ponddoor/node/board.py
@@ -1,4 +1,4 @@
-"""The shell towards the notice board: one connection, every event once and in order."""
+"""Follows the server list of the platform's discovery service, the notice board, over one connection."""
 
 import asyncio
 import contextlib
@@ -21,63 +21,66 @@
 from ponddoor.web.connecting import connect_within
 from ponddoor.web.timing import read_within
 
-ROWS_A_TURN = 500  # of the list that the engine is fed with in one turn of the loop
-SILENCE_TIMEOUT_S = 2.4  # s: the last number comes each second
-CONNECT_TIMEOUT_S = (
-    1.0  # s: of the four after which news counts as told, with two tries and the pauses between them
-)
-CATCH_UP_S = 0.05  # s after `watch`, in which what it has to tell comes: the protocol's slack
+MAX_ROWS_PER_TURN = 500  # passed to the engine in one iteration of the event loop
+SILENCE_TIMEOUT_S = 2.4  # the notice board sends its last revision every second
+# Changes count as known 4 s after such a loss: two attempts to connect and the waits between them fit in
+CONNECT_TIMEOUT_S = 1.0
+# After `watch` the notice board sends what has changed within this time, the protocol's slack
+CATCH_UP_S = 0.05
 log = structlog.get_logger("board")
 
 
 @dataclass(slots=True)
 class DiscoveryClient:
-    """Feeds the engine with the list. `learned` is told each change at once, `asked` when
-    what the board has to tell to a node that begins has come, or can't be had."""
+    """Applies the initial server list and all later events, each once and in order, to the engine.
+
+    `on_change` is called with each change as soon as it is received, `on_caught_up` when the changes since
+    the initial list have been received or are not available."""
 
     roster: Roster
     engine: Engine
     apply: Apply
-    learned: Callable[[ListChange], None]
-    asked: Callable[[], None]
+    on_change: Callable[[ListChange], None]
+    on_caught_up: Callable[[], None]
     schedule: ReconnectSchedule
     reserve: DescriptorReserve
     address: Address = ("", 0)
-    disconnects: int = 0
-    _following: asyncio.Task[None] | None = None
-    _rows: deque[ev.ServerRow] = field(default_factory=deque)  # told, and not yet fed to the engine
-    _feeding: bool = False
-
-    def start(self, place: NodeSettings) -> None:
-        """The list of the start, then what follows."""
-        for message in place.known_notices:
+    disconnects: int = 0  # lost connections and failed attempts
+    _watch_task: asyncio.Task[None] | None = None
+    _pending_rows: deque[ev.ServerRow] = field(default_factory=deque)  # not yet passed to the engine
+    _feed_scheduled: bool = False
+
+    def start(self, settings: NodeSettings) -> None:
+        """Apply the initial list of the settings, then follow the notice board."""
+        for message in settings.known_notices:
             self.roster.take(message)
         known = self.roster.all()
-        self.learned(known)
+        self.on_change(known)
         self.apply(lambda now: self.engine.news(now, ev.NewsScope.CACHED, known.rows))
-        self._follow_from(place.board, self.schedule.start(clock()))
+        self._watch_from(settings.board, self.schedule.start(clock()))
 
     def move_to(self, address: Address) -> None:
-        """Follow the board at this address from the last number in hand, as all nodes are told to at once."""
-        self._follow_from(address, self.schedule.moved(clock()))
+        """Follow the notice board at another address, from the last revision on. All nodes are told to do so
+        at the same time, so the first attempt is delayed by the schedule."""
+        self._watch_from(address, self.schedule.moved(clock()))
 
-    def _follow_from(self, address: Address, due: int) -> None:
+    def _watch_from(self, address: Address, due: int) -> None:
         self.close()
         self.address = address
-        self._following = asyncio.create_task(self._follow(address, due))
+        self._watch_task = asyncio.create_task(self._keep_watching(address, due))
 
-    async def _follow(self, address: Address, due: int) -> None:
+    async def _keep_watching(self, address: Address, due: int) -> None:
         while True:
             await asyncio.sleep(max(due - clock(), 0) / SECOND)
-            how, why = await self._watch(address)
-            self.asked()
+            loss, reason = await self._watch(address)
+            self.on_caught_up()
             now = clock()
-            due = self.schedule.lost(now, how, int(SILENCE_TIMEOUT_S * SECOND) if how is Loss.SILENT else 0)
+            due = self.schedule.lost(now, loss, int(SILENCE_TIMEOUT_S * SECOND) if loss is Loss.SILENT else 0)
             self.disconnects += 1
             log.info(
                 "board-broke",
-                how=how.value,
-                why=why,
+                how=loss.value,
+                why=reason,
                 last=self.roster.version,
                 tries=self.schedule.tries,
                 age_ms=self.schedule.age(now) // 1000,
@@ -85,7 +88,7 @@
             )
 
     async def _watch(self, address: Address) -> tuple[Loss, str]:
-        """Follow until it ends: how, and in words."""
+        """Follow the list until the connection is lost. Returns the kind of loss and the reason as text."""
         try:
             opened = await self._connect(address)
             reader, writer = await asyncio.open_connection(sock=opened)
@@ -95,18 +98,19 @@
             return Loss.REFUSED, str(problem)
         try:
             writer.write(board_codec.encode_watch(self.roster.version))
-            asyncio.get_running_loop().call_later(CATCH_UP_S, self.asked)
+            asyncio.get_running_loop().call_later(CATCH_UP_S, self.on_caught_up)
             lines, due = LineReader(board_codec.MAX_LINE_BYTES), clock() + int(SILENCE_TIMEOUT_S * SECOND)
-            # Only what is whole is a sign: a board that stopped in a line, or drips, tells nothing
+            # Only a complete line extends the timeout: a notice board that stops or trickles within a line
+            # counts as silent
             while data := await read_within(max(due - clock(), 0) / SECOND, reader, 65_536):
                 for line in lines.feed(data):
                     self._handle_line(line)
                     self.schedule.heard(clock())
                     due = clock() + int(SILENCE_TIMEOUT_S * SECOND)
-                    self.asked()
+                    self.on_caught_up()
             return Loss.BROKEN, "ended"
         except TimeoutError:
-            return Loss.SILENT, f"nothing in {SILENCE_TIMEOUT_S:g} s"
+            return Loss.SILENT, f"no complete line in {SILENCE_TIMEOUT_S:g} s"
         except (OSError, GapError, UnreadableError) as problem:
             return Loss.BROKEN, f"{type(problem).__name__} {problem}"
         finally:
@@ -115,7 +119,7 @@
                 writer.transport.abort()
 
     async def _connect(self, address: Address) -> socket.socket:
-        """A connection; where no descriptor is left, by one of those reserved."""
+        """Connect; if this machine is out of descriptors, use one of the reserve."""
         try:
             return await connect_within(CONNECT_TIMEOUT_S, *address)
         except OSError as problem:
@@ -126,21 +130,25 @@
     def _handle_line(self, line: bytes) -> None:
         change = self.roster.take(board_codec.decode_line(line))
         if change is not None:
-            self.learned(change)
-            # What may no longer be used is heard first
-            self._rows.extend(sorted(change.rows, key=lambda row: row.state is ev.ServerState.READY))
-            if not self._feeding:
+            self.on_change(change)
+            # The engine gets the servers that may no longer be used first
+            self._pending_rows.extend(sorted(change.rows, key=lambda row: row.state is ev.ServerState.READY))
+            if not self._feed_scheduled:
                 self._feed()
 
     def _feed(self) -> None:
-        """Some rows a turn: between them what has come is read, and every state is a whole one. The shells
-        know the whole change by now, so nothing goes out to a server that may no longer be used."""
-        rows = tuple(self._rows.popleft() for _ in range(min(ROWS_A_TURN, len(self._rows))))
-        self._feeding = bool(self._rows)
-        if self._feeding:
+        """Pass at most MAX_ROWS_PER_TURN rows to the engine, the rest in later turns of the event loop.
+
+        Between them received data is read. The engine may still choose a server that can no longer be used,
+        but nothing is sent there: `on_change` has told the links the whole change already."""
+        rows = tuple(
+            self._pending_rows.popleft() for _ in range(min(MAX_ROWS_PER_TURN, len(self._pending_rows)))
+        )
+        self._feed_scheduled = bool(self._pending_rows)
+        if self._feed_scheduled:
             asyncio.get_running_loop().call_soon(self._feed)
         self.apply(lambda now: self.engine.news(now, ev.NewsScope.CHANGES, rows))
 
     def close(self) -> None:
-        if self._following is not None:
-            self._following.cancel()
+        if self._watch_task is not None:
+            self._watch_task.cancel()
--- a/ponddoor/node/descriptors.py
+++ b/ponddoor/node/descriptors.py
@@ -1,4 +1,4 @@
-"""Descriptors that a node keeps for what must not fail for want of one, and files that it holds open."""
+"""File descriptors: a reserve for operations that must not fail for lack of one, and files kept open."""
 
 import contextlib
 import errno
@@ -6,50 +6,50 @@
 from dataclasses import dataclass, field
 from typing import TextIO
 
-RESERVED = 2  # for a configuration that is read and a connection to the list
-LOCAL_ERRORS = frozenset((errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL))
+RESERVED_DESCRIPTORS = 2  # for reading the configuration and for a connection to the discovery service
+RESOURCE_ERRNOS = frozenset((errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL))
 PAGE_KB = os.sysconf("SC_PAGE_SIZE") // 1024
 
 
 def is_resource_exhaustion(problem: OSError) -> bool:
-    """Whether this machine had no means, so that nobody else is to blame."""
-    return problem.errno in LOCAL_ERRORS
+    """Whether an operation failed because this machine lacked a resource, and so not because of a peer."""
+    return problem.errno in RESOURCE_ERRNOS
 
 
 @dataclass(slots=True)
 class DescriptorReserve:
-    """Descriptors that are given back when one is needed, and taken again when there are some."""
+    """Holds open descriptors, to release one when it is needed and to reopen it when one is available."""
 
     _held: list[int] = field(default_factory=list)
 
     def refill(self) -> None:
-        """Hold as many as are reserved, or as many as there are."""
+        """Open descriptors up to RESERVED_DESCRIPTORS, or as many as the system allows."""
         with contextlib.suppress(OSError):
-            while len(self._held) < RESERVED:
+            while len(self._held) < RESERVED_DESCRIPTORS:
                 self._held.append(os.open(os.devnull, os.O_RDONLY | os.O_CLOEXEC))
 
     def release(self) -> bool:
-        """Make one free. Returns whether there was one."""
+        """Close one descriptor. Returns whether there was one."""
         if not self._held:
             return False
         os.close(self._held.pop())
         return True
 
     def close(self) -> None:
-        """Hold none any more."""
+        """Close all descriptors."""
         while self.release():
             pass
 
 
 class MemoryGauge:
-    """What of the process is in memory. The file stays open, so that no look needs a descriptor."""
+    """Reads the resident memory of this process. The file stays open, so that reading needs no descriptor."""
 
     def __init__(self) -> None:
-        """Raises OSError where the system does not tell."""
+        """Raises OSError if the system has no such file."""
         self._file = os.open("/proc/self/statm", os.O_RDONLY | os.O_CLOEXEC)
 
     def resident_kb(self) -> int:
-        """kB in memory; 0 where the system does not tell."""
+        """The resident memory in kB; 0 if it can't be read."""
         try:
             return int(os.pread(self._file, 128, 0).split()[1]) * PAGE_KB
         except OSError:
@@ -57,14 +57,14 @@
 
 
 class LogStream:
-    """A text stream that drops what can't be written: a log that is full or has no reader stops no work."""
+    """A text stream that drops what can't be written, so that a full or closed log does not stop the node."""
 
     def __init__(self, stream: TextIO) -> None:
         self._stream = stream
         self.dropped = 0
 
     def write(self, text: str) -> int:
-        """Write, or count what was dropped."""
+        """Write the text, or count it as dropped."""
         try:
             return self._stream.write(text)
         except (OSError, ValueError):
@@ -72,6 +72,6 @@
             return len(text)
 
     def flush(self) -> None:
-        """Write out what is buffered, or drop it."""
+        """Flush the stream; errors are ignored."""
         with contextlib.suppress(OSError, ValueError):
             self._stream.flush()
--- a/ponddoor/node/server_link.py
+++ b/ponddoor/node/server_link.py
@@ -134,7 +134,7 @@
     def _send_queued_item(self, item: Outgoing) -> None:
         if self.connection is None:
             return
-        index = next((index for index, queued in enumerate(self.queued) if queued is item), None)
+        index = next((i for i, queued in enumerate(self.queued) if queued is item), None)
         if index is not None:
             del self.queued[index]
             self.messages.write(self.connection, item)
