--- a/ponddoor/platform/__init__.py
+++ b/ponddoor/platform/__init__.py
@@ -1,1 +1,1 @@
-"""What the operators' platform says in the same words to the bench's adapter and to the node."""
+"""What the simulator adapter and the node share of the platform's interface."""
--- a/ponddoor/platform/facts.py
+++ b/ponddoor/platform/facts.py
@@ -1,4 +1,6 @@
-"""The platform's settings, a JSON object, as what a front is told at its start. Its words live only here."""
+"""Reads and writes the platform's settings, a JSON object, as the facts that a front gets at its start.
+
+The keys and values of the settings occur only in this module."""
 
 import json
 import math
@@ -8,12 +10,12 @@
 
 
 class MalformedError(Exception):
-    """The input does not follow the wire."""
+    """The settings or messages of the platform are not valid; the text says what is wrong."""
 
 
 _EFFECTS = {"repeatable": fx.Effect.SAFE, "by_key": fx.Effect.KEYED, "once": fx.Effect.UNSAFE}
 _REPORTING = {"inline": fx.Reporting.INLINE, "on_probe": fx.Reporting.ON_PROBE, "off": fx.Reporting.OFF}
-_FIELDS = {
+_REPORT_FIELDS = {
     "rif": "streams",
     "q": "waiting",
     "busy": "util",
@@ -26,19 +28,19 @@
 
 
 def ms_to_us(ms: float) -> int:
-    """The wire's milliseconds as whole microseconds."""
+    """Milliseconds of the platform as whole microseconds. Raises MalformedError unless they are finite."""
     if not math.isfinite(ms):
-        raise MalformedError(f"a time of {ms}")
+        raise MalformedError(f"time of {ms} ms is not finite")
     return round(ms * 1000)
 
 
 def report_field_name(name: str) -> str:
-    """What we call a value of a load report."""
-    return _FIELDS.get(name, name)
+    """Our name for a value of a load report."""
+    return _REPORT_FIELDS.get(name, name)
 
 
 def site_facts(seed: int, text: bytes) -> tuple[fx.SiteFacts, tuple[str, ...]]:
-    """The settings as facts, and the names of the values in a load report. Raises MalformedError."""
+    """The facts in the settings, and the names of the values in a load report. Raises MalformedError."""
     try:
         return _facts(seed, json.loads(text))
     except (ValueError, KeyError, TypeError, AttributeError, IndexError) as problem:
@@ -46,7 +48,7 @@
 
 
 def zone_and_kind_names(text: bytes) -> tuple[tuple[str, ...], tuple[str, ...]]:
-    """The zones and the kinds of server by their numbers. Raises MalformedError."""
+    """The names of the zones and of the kinds of server, by their numbers. Raises MalformedError."""
     try:
         raw = json.loads(text)
         return tuple(map(str, raw["localities"])), tuple(map(str, raw["skus"]))
@@ -54,23 +56,32 @@
         raise MalformedError(f"unusable settings: {problem!r}") from problem
 
 
-def _effect(word: str) -> fx.Effect:
-    if word not in _EFFECTS:
-        raise MalformedError(f"an effect of {word!r}; there are {', '.join(_EFFECTS)}")
-    return _EFFECTS[word]
+def _effect(semantics: str) -> fx.Effect:
+    if semantics not in _EFFECTS:
+        raise MalformedError(f"unknown semantics {semantics!r}, expected one of {', '.join(_EFFECTS)}")
+    return _EFFECTS[semantics]
 
 
-def _possible(group: fx.ServiceGroup, rungs: int) -> None:
-    """Guards against terms that no session can keep: a front with them would break one or serve nobody."""
-    most = min(group.top, rungs - 1)
-    if not 0 <= group.floor <= most:
-        raise MalformedError(f"group {group.name}: floor {group.floor}, its highest rung is {most}")
+def _check_group(group: fx.ServiceGroup, rungs: int) -> None:
+    """Raises MalformedError for terms that no session can meet: they would be violated or nobody served."""
+    highest = min(group.top, rungs - 1)
+    if not 0 <= group.floor <= highest:
+        raise MalformedError(
+            f"group {group.name}: floor {group.floor} is not in 0 to {highest}, its top rung"
+        )
     if group.seats < 0:
-        raise MalformedError(f"group {group.name}: {group.seats} seats; 0 means that they are not counted")
+        raise MalformedError(
+            f"group {group.name}: {group.seats} seats, expected 0 (seats are not counted) or more"
+        )
 
 
 def _facts(seed: int, raw: dict[str, Any]) -> tuple[fx.SiteFacts, tuple[str, ...]]:
-    fam, safety, allow, prices = raw["specifics"], raw["safety"], raw["permissions"], raw["prices"]
+    specifics, safety, permissions, prices = (
+        raw["specifics"],
+        raw["safety"],
+        raw["permissions"],
+        raw["prices"],
+    )
     groups = tuple(
         fx.ServiceGroup(
             name=lane["name"],
@@ -80,20 +91,20 @@
             effect=_effect(lane["semantics"]),
             scope=fx.Scope(lane.get("group", "all")),
             memory=ms_to_us(lane.get("memorySpan", 0)),
-            floor=fam["floorByClass"][i],
-            top=fam["classTop"][i],
-            seats=fam["classSeats"][i],
-            live=fam["live"][i],
-            rate_factor=fam["rateFactor"][i],
+            floor=specifics["floorByClass"][i],
+            top=specifics["classTop"][i],
+            seats=specifics["classSeats"][i],
+            live=specifics["live"][i],
+            rate_factor=specifics["rateFactor"][i],
         )
         for i, lane in enumerate(raw["lanes"])
     )
     for group in groups:
-        _possible(group, len(fam["rungKb"]))
+        _check_group(group, len(specifics["rungKb"]))
     names = tuple(map(report_field_name, raw["reporting"]["fields"]))
-    spare = safety.get("spareAttempts")
-    share = safety.get("resendRatio")
-    limited = bool(safety.get("ratioSpan")) and (spare is not None or share is not None)
+    spare_setups = safety.get("spareAttempts")
+    resend_ratio = safety.get("resendRatio")
+    limited = bool(safety.get("ratioSpan")) and (spare_setups is not None or resend_ratio is not None)
     facts = fx.SiteFacts(
         me=raw["me"],
         fronts=raw["balancers"],
@@ -105,24 +116,25 @@
         over_share_utility=raw.get("overShareWorth", 1.0),
         groups=groups,
         tenants=tuple(
-            fx.Tenant(unit["name"], unit["quotaPerS"], unit["share"]) for unit in raw.get("accounts", ())
+            fx.Tenant(account["name"], account["quotaPerS"], account["share"])
+            for account in raw.get("accounts", ())
         ),
         ladder=fx.Ladder(
-            tuple(fam["rungKb"]),
-            tuple(fam["ladderWorth"]),
-            fam["changeCostsS"],
-            fam["shortfallCost"],
-            fam.get("join", 1.0),
+            tuple(specifics["rungKb"]),
+            tuple(specifics["ladderWorth"]),
+            specifics["changeCostsS"],
+            specifics["shortfallCost"],
+            specifics.get("join", 1.0),
         ),
         plant=fx.Plant(
-            cells=fam["positions"],
-            racks=fam["groups"],
-            kb_per_weight=fam["kbPerWeight"],
-            uplink_kb=fam["rackKb"],
-            streams=tuple(fam["kindStreams"]),
-            refuse_at=fam.get("guard", 0.0),
-            note_delay=ms_to_us(fam.get("toldLate", 0)),
-            note_every=ms_to_us(fam.get("tell", 0)),
+            cells=specifics["positions"],
+            racks=specifics["groups"],
+            kb_per_weight=specifics["kbPerWeight"],
+            uplink_kb=specifics["rackKb"],
+            streams=tuple(specifics["kindStreams"]),
+            refuse_at=specifics.get("guard", 0.0),
+            note_delay=ms_to_us(specifics.get("toldLate", 0)),
+            note_every=ms_to_us(specifics.get("tell", 0)),
         ),
         rules=fx.Rules(
             cold=ms_to_us(safety["cold"]),
@@ -132,18 +144,18 @@
             fall=ms_to_us(safety["fall"]),
             answer_grace=ms_to_us(safety["graceToAnswer"]),
             ask_every=ms_to_us(safety.get("askEvery", 0)),
-            spare_setups=int(spare or 0) if limited else None,
-            resend_ratio=share or 0.0,
+            spare_setups=int(spare_setups or 0) if limited else None,
+            resend_ratio=resend_ratio or 0.0,
             resend_span=ms_to_us(safety.get("ratioSpan", 0)),
         ),
         permissions=fx.Permissions(
-            probes=allow["probes"],
-            messages=allow["mayTell"],
-            cancel=allow["cancelling"],
-            max_attempts=allow["maxAttempts"],
-            come_back=allow["retryAfter"],
-            max_come_back=ms_to_us(allow["maxRetryAfter"]),
-            connect_timeout=ms_to_us(allow["connectTimeout"]),
+            probes=permissions["probes"],
+            messages=permissions["mayTell"],
+            cancel=permissions["cancelling"],
+            max_attempts=permissions["maxAttempts"],
+            come_back=permissions["retryAfter"],
+            max_come_back=ms_to_us(permissions["maxRetryAfter"]),
+            connect_timeout=ms_to_us(permissions["connectTimeout"]),
         ),
         prices=fx.Prices(
             cross_zone=prices["crossZone"],
@@ -156,10 +168,10 @@
 
 
 def as_settings(facts: fx.SiteFacts, zones: tuple[str, ...], kinds: tuple[str, ...]) -> dict[str, Any]:
-    """The settings that would tell these facts: `site_facts` reads the same from it, but for the seed."""
-    effects, reporting = ({kind: word for word, kind in words.items()} for words in (_EFFECTS, _REPORTING))
-    fields = {ours: theirs for theirs, ours in _FIELDS.items()}
-    rules, allow, plant, ladder = facts.rules, facts.permissions, facts.plant, facts.ladder
+    """The settings for these facts: `site_facts` reads the same facts from them, except the seed."""
+    effects, reporting = ({value: key for key, value in table.items()} for table in (_EFFECTS, _REPORTING))
+    report_fields = {ours: theirs for theirs, ours in _REPORT_FIELDS.items()}
+    rules, permissions, plant, ladder = facts.rules, facts.permissions, facts.plant, facts.ladder
     safety: dict[str, Any] = {
         "cold": rules.cold / 1000,
         "coldFrom": rules.cold_from,
@@ -179,7 +191,7 @@
         "me": facts.me, "balancers": facts.fronts, "zone": facts.zone, "localities": zones, "skus": kinds,
         "discovery": "on_request" if facts.asked_discovery else "pushed",
         "reporting": {"how": reporting[facts.reporting],
-                      "fields": [fields.get(name, name) for name in facts.report_fields]},
+                      "fields": [report_fields.get(name, name) for name in facts.report_fields]},
         "overShareWorth": facts.over_share_utility,
         "lanes": [{"name": g.name, "aim": g.start_target / 1000, "deadline": g.setup_timeout / 1000,
                    "value": g.utility, "semantics": effects[g.effect], "group": g.scope.value,
@@ -196,9 +208,10 @@
             "tell": plant.note_every / 1000},
         "safety": safety,
         "permissions": {
-            "probes": allow.probes, "mayTell": allow.messages, "cancelling": allow.cancel,
-            "maxAttempts": allow.max_attempts, "retryAfter": allow.come_back,
-            "maxRetryAfter": allow.max_come_back / 1000, "connectTimeout": allow.connect_timeout / 1000},
+            "probes": permissions.probes, "mayTell": permissions.messages, "cancelling": permissions.cancel,
+            "maxAttempts": permissions.max_attempts, "retryAfter": permissions.come_back,
+            "maxRetryAfter": permissions.max_come_back / 1000,
+            "connectTimeout": permissions.connect_timeout / 1000},
         "prices": {"crossZone": facts.prices.cross_zone, "probe": facts.prices.probe,
                    "peer": facts.prices.message, "moves": facts.prices.move},
     }  # fmt: skip
--- a/ponddoor/simhost/__init__.py
+++ b/ponddoor/simhost/__init__.py
@@ -1,1 +1,1 @@
-"""The bench's adapter: its wire on standard input and output, one isolated front for each instance."""
+"""The simulator's adapter: binary frames on standard input and output, a separate front for each instance."""
--- a/ponddoor/simhost/__main__.py
+++ b/ponddoor/simhost/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m ponddoor.simhost`: the adapter."""
+"""`python -m ponddoor.simhost`: runs the adapter of the simulator on standard input and output."""
 
 import sys
 
@@ -7,7 +7,7 @@
 
 
 def main() -> int:
-    """Serve standard input; 2 if it was malformed."""
+    """Serve until the input ends. Returns the exit status: 2 if the input was malformed, else 0."""
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except MalformedError as problem:
--- a/ponddoor/simhost/codec.py
+++ b/ponddoor/simhost/codec.py
@@ -1,4 +1,6 @@
-"""The bench's wire: binary frames to events and actions, and back. The wire's words live only here."""
+"""Decodes the simulator's binary frames to events, and encodes actions.
+
+The codes of the wire occur only in this module."""
 
 import math
 import struct
@@ -14,14 +16,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Boot:
-    """An instance begins."""
+    """An instance starts."""
 
     facts: fx.SiteFacts
 
 
 @dataclass(frozen=True, slots=True)
 class Killed:
-    """An instance is gone with all it held."""
+    """An instance was killed and has lost all its state."""
 
 
 _RESULTS = {
@@ -34,34 +36,34 @@
     306: ev.Result.CANCELLED,
     307: ev.Result.MOOT,
 }
-_EVERY_PEER = 0xFFFFFFFF
+_ALL_PEERS = 0xFFFFFFFF
 _ROW = struct.Struct(">IHHHBfd")
 _REQUEST = struct.Struct(">IHHQQddfffB")
 _RECORD = struct.Struct(">HI")
-_HINT, _MOVED, _AGAIN = 1, 8, 16
+_LENGTH_HINT_FLAG, _MOVED_FLAG, _AGAIN_FLAG = 1, 8, 16
 
 
 class _Fields:
-    """Reads the fields of one record in turn."""
+    """Reads the fields of one record, one after another. Raises MalformedError if it is too short."""
 
-    def __init__(self, body: bytes, what: str) -> None:
-        self._body, self._at, self._what = body, 0, what
+    def __init__(self, body: bytes, description: str) -> None:
+        self._body, self._offset, self._description = body, 0, description
 
-    def take(self, form: struct.Struct) -> tuple[Any, ...]:
-        end = self._at + form.size
+    def take(self, layout: struct.Struct) -> tuple[Any, ...]:
+        end = self._offset + layout.size
         if end > len(self._body):
-            raise MalformedError(f"{self._what}: cut short")
-        values = form.unpack_from(self._body, self._at)
-        self._at = end
+            raise MalformedError(f"{self._description}: fields need {end} bytes, got {len(self._body)}")
+        values = layout.unpack_from(self._body, self._offset)
+        self._offset = end
         return values
 
     def blob(self, size: int) -> bytes:
-        end = self._at + size
+        end = self._offset + size
         if end > len(self._body):
-            raise MalformedError(f"{self._what}: cut short")
-        piece = self._body[self._at : end]
-        self._at = end
-        return piece
+            raise MalformedError(f"{self._description}: fields need {end} bytes, got {len(self._body)}")
+        data = self._body[self._offset : end]
+        self._offset = end
+        return data
 
 
 _U8, _U16, _U32 = struct.Struct(">B"), struct.Struct(">H"), struct.Struct(">I")
@@ -71,34 +73,40 @@
 
 
 class Reader:
-    """Decodes batches. Keeps the numbered lists of servers, and the report fields of each instance."""
+    """Decodes batches. Keeps the server lists by number and the report fields of each instance."""
 
     def __init__(self) -> None:
         self._lists: dict[int, tuple[ev.ServerRow, ...]] = {}
         self._report_fields: dict[int, tuple[str, ...]] = {}
 
     def batch(self, body: bytes, count: int) -> Iterator[tuple[int, Boot | Killed | ev.Event]]:
-        """Yields each event with its instance, in order; the wire's clock is in the header."""
-        at, front = 0, None
+        """Yields each event with the number of its instance, in order. The time of all is in the batch header.
+
+        Raises MalformedError."""
+        offset, front = 0, None
         for _ in range(count):
-            if at + _RECORD.size > len(body):
-                raise MalformedError("a record's header is cut short")
-            code, size = _RECORD.unpack_from(body, at)
-            at += _RECORD.size
-            if at + size > len(body):
-                raise MalformedError(f"record of code {code}: {size} bytes told, {len(body) - at} there")
-            fields = _Fields(body[at : at + size], f"record of code {code}")
-            at += size
+            if offset + _RECORD.size > len(body):
+                raise MalformedError(
+                    f"record header cut short: got {len(body) - offset} of {_RECORD.size} bytes"
+                )
+            code, size = _RECORD.unpack_from(body, offset)
+            offset += _RECORD.size
+            if offset + size > len(body):
+                raise MalformedError(
+                    f"record of code {code} cut short: got {len(body) - offset} of {size} bytes"
+                )
+            fields = _Fields(body[offset : offset + size], f"record of code {code}")
+            offset += size
             if code == 10:
                 (front,) = fields.take(_U32)
             elif code == 12:
                 self._read_list(fields)
             elif front is None:
-                raise MalformedError(f"record of code {code} before any instance is named")
+                raise MalformedError(f"record of code {code} before a record that names the instance")
             else:
                 yield front, self._event(front, code, fields)
-        if at != len(body):
-            raise MalformedError(f"{len(body) - at} bytes after the last record")
+        if offset != len(body):
+            raise MalformedError(f"{len(body) - offset} bytes after the last record")
 
     def _read_list(self, fields: _Fields) -> None:
         (number,) = fields.take(_U8)
@@ -106,7 +114,7 @@
         for _ in range(fields.take(_U32)[0]):
             server, zone, kind, cell, state, weight, started = fields.take(_ROW)
             if state not in (0, 1, 2):
-                raise MalformedError(f"server state {state}")
+                raise MalformedError(f"unknown server state {state}, expected 0, 1 or 2")
             rows.append(
                 ev.ServerRow(server, zone, kind, cell, ev.ServerState(state), weight, ms_to_us(started))
             )
@@ -116,19 +124,19 @@
         match code:
             case 5:
                 seed, size = fields.take(_BOOT)
-                facts, names = site_facts(seed, fields.blob(size))
-                self._report_fields[front] = names
+                facts, report_fields = site_facts(seed, fields.blob(size))
+                self._report_fields[front] = report_fields
                 return Boot(facts)
             case 11:
                 return Killed()
             case 13:
                 scope, _, number = fields.take(_FLEET)
                 if scope not in (0, 1, 2, 3):
-                    raise MalformedError(f"fleet news of kind {scope}")
+                    raise MalformedError(f"unknown scope {scope} of a server list change, expected 0 to 3")
                 if scope == 3:
                     return ev.ServerNews(ev.NewsScope.FAILED)
                 if number not in self._lists:
-                    raise MalformedError(f"no list numbered {number}")
+                    raise MalformedError(f"unknown server list {number}")
                 return ev.ServerNews(ev.NewsScope(scope), self._lists[number])
             case 4:
                 return _request(fields)
@@ -138,7 +146,7 @@
             case 6:
                 req_id, value, kind, _, server = fields.take(_NOTE)
                 if kind not in (1, 2, 3, 4):
-                    raise MalformedError(f"note of kind {kind}")
+                    raise MalformedError(f"unknown note kind {kind}, expected 1 to 4")
                 return ev.Note(req_id, ev.NoteKind(kind), value, server)
             case 3:
                 req_id, lag, attempt, server = fields.take(_STARTED)
@@ -175,42 +183,42 @@
 
 def _result(code: int) -> ev.Result:
     if code not in _RESULTS:
-        raise MalformedError(f"unknown outcome {code}")
+        raise MalformedError(f"unknown result code {code}")
     return _RESULTS[code]
 
 
 def _request(fields: _Fields) -> ev.SessionRequest:
-    req_id, group, tenant, key, title, left, hint, home, span, top, bits = fields.take(_REQUEST)
+    req_id, group, tenant, key, title, time_left, length_hint, home, span, top, flags = fields.take(_REQUEST)
     if not all(map(math.isfinite, (home, span, top))):
-        raise MalformedError(f"request {req_id}: home {home}, span {span}, top {top}")
+        raise MalformedError(f"request {req_id}: home {home}, span {span} or top {top} is not finite")
     return ev.SessionRequest(
         req_id,
         group,
         tenant,
         key,
         title,
-        ms_to_us(left),
-        ms_to_us(hint) if bits & _HINT else None,
+        ms_to_us(time_left),
+        ms_to_us(length_hint) if flags & _LENGTH_HINT_FLAG else None,
         int(home),
         int(span),
         int(top),
-        bool(bits & _MOVED),
-        bool(bits & _AGAIN),
+        bool(flags & _MOVED_FLAG),
+        bool(flags & _AGAIN_FLAG),
     )
 
 
-def encode(front: int, wanted: list[act.Action]) -> bytes:
-    """The records for one instance's actions, in order."""
-    return _record(15, _U32.pack(front)) + b"".join(map(_action, wanted)) if wanted else b""
+def encode(front: int, actions: list[act.Action]) -> bytes:
+    """The records for the actions of one instance, in order."""
+    return _record(15, _U32.pack(front)) + b"".join(map(_action, actions)) if actions else b""
 
 
 def bail_out(front: int, text: str) -> bytes:
-    """The records that declare the decisions of one instance broken."""
+    """The records that report an internal error in the decisions of one instance."""
     return _record(15, _U32.pack(front)) + _record(10, _blob(text.encode()[:500]))
 
 
 def frame(records: bytes) -> bytes:
-    """A whole reply."""
+    """A reply of these records, with its length before them."""
     return _U32.pack(len(records)) + records
 
 
@@ -218,12 +226,12 @@
     return _RECORD.pack(code, len(body)) + body
 
 
-def _blob(piece: bytes) -> bytes:
-    return _U16.pack(len(piece)) + piece
+def _blob(data: bytes) -> bytes:
+    return _U16.pack(len(data)) + data
 
 
-def _action(wanted: act.Action) -> bytes:
-    match wanted:
+def _action(action: act.Action) -> bytes:
+    match action:
         case act.Setup(req_id, server, timeout):
             return _record(1, struct.pack(">IdI", req_id, timeout / 1000, server))
         case act.BusyReply(req_id, come_back):
@@ -232,14 +240,14 @@
             return _record(3, _U32.pack(req_id))
         case act.Cancel(req_id, attempt):
             return _record(4, struct.pack(">IH", req_id, attempt))
-        case act.SetTimer(at, cookie):
-            return _record(5, struct.pack(">dI", at / 1000, cookie))
+        case act.SetTimer(due, cookie):
+            return _record(5, struct.pack(">dI", due / 1000, cookie))
         case act.Probe(server):
             return _record(6, _U32.pack(server))
         case act.CloseIdle(server):
             return _record(7, _U32.pack(server))
         case act.Tell(peer, payload):
-            return _record(8, _U32.pack(_EVERY_PEER if peer is None else peer) + _blob(payload))
+            return _record(8, _U32.pack(_ALL_PEERS if peer is None else peer) + _blob(payload))
         case act.Log(text):
             return _record(9, _blob(text.encode()[:500]))
         case act.Watch(active):
@@ -251,4 +259,4 @@
         case act.Move(req_id):
             return _record(14, _U32.pack(req_id))
         case act.Play() | act.Wait() | act.Listen():
-            raise TypeError(f"{wanted} is for the runtime, not for the wire")
+            raise TypeError(f"{action} is for the runtime and has no code on the simulator's wire")
--- a/ponddoor/simhost/host.py
+++ b/ponddoor/simhost/host.py
@@ -1,4 +1,4 @@
-"""Hosts the fronts: reads batches, hands each event to its instance's driver, writes one reply a batch."""
+"""Runs the fronts of the simulator: passes each event to its instance, and answers each batch once."""
 
 import struct
 from typing import BinaryIO
@@ -13,17 +13,17 @@
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
-    """Answer batches until the input ends; raises MalformedError on input that does not follow the wire."""
+    """Answer batches until the input ends. Raises MalformedError for invalid input."""
     reader = codec.Reader()
     drivers: dict[int, Driver] = {}
     while header := source.read(_HEADER.size):
         if len(header) < _HEADER.size:
-            raise MalformedError("a batch's header is cut short")
-        size, clock, count = _HEADER.unpack(header)
+            raise MalformedError(f"batch header cut short: got {len(header)} of {_HEADER.size} bytes")
+        size, clock_ms, count = _HEADER.unpack(header)
         body = source.read(size)
         if len(body) < size:
-            raise MalformedError(f"a batch of {size} bytes ends after {len(body)}")
-        now, replies = ms_to_us(clock), []
+            raise MalformedError(f"batch cut short: got {len(body)} of {size} bytes")
+        now, replies = ms_to_us(clock_ms), []
         for front, event in reader.batch(body, count):
             replies.append(_handle(drivers, front, now, event))
         sink.write(codec.frame(b"".join(replies)))
@@ -41,9 +41,9 @@
             drivers[front] = Driver(Front(event.facts, now))
             return b""
         if front not in drivers:
-            raise MalformedError(f"an event for instance {front}, which is not running")
+            raise MalformedError(f"event for instance {front}, which is not running")
         return codec.encode(front, drivers[front].handle(now, event))
     except MalformedError:
         raise
-    except Exception as problem:  # whatever the decisions raise is theirs: the wire has a word for it
+    except Exception as problem:  # a fault in the decisions of one instance is reported on the wire
         return codec.bail_out(front, f"{type(problem).__name__}: {problem}")
--- a/tests/node/test_node.py
+++ b/tests/node/test_node.py
@@ -95,7 +95,7 @@
         ("specifics", {"floorByClass": [9]}, "group talks: floor 9"),
         ("specifics", {"floorByClass": [-1]}, "group talks: floor -1"),
         ("specifics", {"classSeats": [-1]}, "group talks: -1 seats"),
-        ("lanes", {"semantics": "twice"}, "an effect of 'twice'"),
+        ("lanes", {"semantics": "twice"}, "unknown semantics 'twice'"),
     ],
 )
 def test_terms_that_nobody_can_keep(tmp_path: Path, part: str, terms: dict[str, object], words: str) -> None:
