--- a/ponddoor/capacity/know_measure.py
+++ b/ponddoor/capacity/know_measure.py
@@ -32,7 +32,7 @@
         presence = node.core.fleet.presence
         if presence.version != self.versions[node.number]:
             self.versions[node.number] = presence.version
-            self.look(node.number, set(presence.dead()))
+            self.look(node.number, set(presence.dead_fronts()))
 
     def look(self, number: int, now_dead: set[int]) -> None:
         held, matters = self.dead[number], self.matters[number]
--- a/ponddoor/capacity/virtual_measure.py
+++ b/ponddoor/capacity/virtual_measure.py
@@ -25,7 +25,7 @@
     Front,
 )  # fmt: skip
 from ponddoor.fleet.presence import Timing
-from ponddoor.fleet.view import EPOCH, Fleet, Terms
+from ponddoor.fleet.view import INCARNATION_EPOCH_US, Fleet, Terms
 from ponddoor.interface import actions as act
 from ponddoor.interface import events as ev
 from ponddoor.interface import words
@@ -117,7 +117,7 @@
         timing = Timing(PERIOD, ASK_WAIT, SILENT * PERIOD, 2 * SILENT * PERIOD)
         terms = Terms(KEEPERS, FEW, timing, REST << LONGEST, SILENT * PERIOD, KNOWN, REACH, 2)
         self.fleet = Fleet(told, now, terms, 1)
-        self.script: Script = self.fleet.talking(lambda server: None, lambda keeper: [])
+        self.script: Script = self.fleet.gossip(lambda server: None, lambda keeper: [])
         self.until = 0
 
     def turn(self, now: int) -> list[act.Tell]:
@@ -134,7 +134,7 @@
 
     def hear(self, now: int, peer: int, payload: bytes) -> list[act.Tell]:
         self.fleet.now = now
-        self.fleet.hear(peer, words.unpack(payload))
+        self.fleet.receive(peer, words.unpack(payload))
         return self.turn(now)
 
 
@@ -170,7 +170,13 @@
     def start(self, node: Node) -> None:
         """A front begins, in a new life."""
         node.up, node.life, node.armed = True, node.life + 1, 0
-        told = replace(self.facts, me=node.number, zone=node.zone, seed=self.rng.getrandbits(32), wall=EPOCH)
+        told = replace(
+            self.facts,
+            me=node.number,
+            zone=node.zone,
+            seed=self.rng.getrandbits(32),
+            wall=INCARNATION_EPOCH_US,
+        )
         begun = time.thread_time_ns()
         node.core = Whole(told, self.now) if self.course.servers else Bare(told, self.now)
         node.cpu += time.thread_time_ns() - begun
@@ -194,7 +200,7 @@
             for other in self.up():
                 if other is not node:
                     presence = other.core.fleet.presence
-                    node.core.fleet.presence.met(self.now, other.number, presence.life)
+                    node.core.fleet.presence.accept_message(self.now, other.number, presence.incarnation)
 
     def stop(self, node: Node) -> None:
         """A front is gone at once, with what it had in hand."""
--- a/ponddoor/decide.py
+++ b/ponddoor/decide.py
@@ -91,9 +91,9 @@
         self.fleet = Fleet(facts, now, terms, parts)
         self.groups = [self.fleet.group_of(rack, len(self.racks)) for rack in range(len(self.racks))]
         self.last_rack = {group: rack for rack, group in enumerate(self.groups)}
-        self.word: tuple[bytes, words.Word | None] = b"", None  # the last that came
+        self.word: tuple[bytes, words.Message | None] = b"", None  # the last that came
         self.stood: dict[int, Standing] = {}
-        self.lasts = ASK_WAIT // 4 if self.fleet.asks else 0
+        self.lasts = ASK_WAIT // 4 if self.fleet.queries_owners else 0
         self.parts = [max(part, 1 / facts.fronts) for part in PARTS]
         self.told_by_probes = facts.permissions.probes and facts.reporting is Reporting.ON_PROBE
 
@@ -114,9 +114,9 @@
 
         Our own evidence goes first where it is newer, one front's word condemns nothing (`View.bad`). It may
         harm where two fronts are cut off from a server: until another tells, or while evidence counts."""
-        view = self.fleet.evidence.view(self.now, server.row.server, self.facts.me)
+        view = self.fleet.evidence.summary(self.now, server.row.server, self.facts.me)
         own = max((at for at, _ in server.ends), default=LONG_AGO)
-        return view.bad(AGAINST, own) and server.grant <= self.now - ASK_WAIT
+        return view.is_bad(AGAINST, own) and server.grant <= self.now - ASK_WAIT
 
     def observe(self, event: ev.Event) -> None:
         match event:
@@ -162,7 +162,7 @@
             held.warm_at = LONG_AGO
             self.table.reported(held)
             self.fleet.evidence.forget(row.server)
-            self.fleet.counts.end_key(row.server)
+            self.fleet.counts.clear_key(row.server)
         before = self.running_rack(held)
         self.table.put_row(held, row)
         self.reckon_anew(held)
@@ -205,8 +205,8 @@
 
     def judge(self, server: Server, well: bool) -> None:
         server.ends = [*server.ends[-5:], (self.now, well)]
-        self.fleet.saw(server.row.server, server.seen(self.now - (REST << LONGEST)))
-        server.ended |= not well or self.fleet.evidence.view(self.now, server.row.server).failed > 0
+        self.fleet.record_own(server.row.server, server.seen(self.now - (REST << LONGEST)))
+        server.ended |= not well or self.fleet.evidence.summary(self.now, server.row.server).failed > 0
         self.table.to_tell(server)
         if well and server.lost is not None:
             unseen = server.row.started_at < server.lost  # it may have restarted, and the list not know yet
@@ -312,21 +312,23 @@
     def learn_word(self, message: ev.PeerMessage) -> None:
         word = words.unpack(message.payload)
         self.word = message.payload, word
-        for number in self.fleet.hear(message.peer, word):
+        for number in self.fleet.receive(message.peer, word):
             self.rebook(number)
-        if isinstance(word, words.Answer):
-            asked = self.fleet.answered(message.peer, word)
-            for room in word.rooms if asked is not None else ():
+        if isinstance(word, words.QueryReply):
+            asked = self.fleet.match_reply(message.peer, word)
+            for room in word.statuses if asked is not None else ():
                 if (server := self.servers.get(room.server)) is not None and asked is not None:
                     server.take(asked, room)
-        elif isinstance(word, words.Telling):
+        elif isinstance(word, words.RateUpdate):
             for rate in [rate for rate in word.rates if rate.server in self.servers]:
                 server = self.servers[rate.server]
-                if rate.share and (not server.notes or server.notes[-1][0] < self.now - rate.share.age):
-                    self.learn_shortage(server, self.now - rate.share.age, rate.share.figure)
+                if rate.delivered and (
+                    not server.notes or server.notes[-1][0] < self.now - rate.delivered.age
+                ):
+                    self.learn_shortage(server, self.now - rate.delivered.age, rate.delivered.value)
                 taken = self.now - (rate.load.age if rate.load else 0)
                 if rate.load and (not server.link.loads or server.link.loads[-1][0] < taken):
-                    self.load(server, taken, rate.load.figure)
+                    self.load(server, taken, rate.load.value)
 
     def rack(self, server: Server) -> Pipe:
         return self.racks[server.row.cell % len(self.racks)]
@@ -355,7 +357,7 @@
 
     def whole(self, server: Server) -> bool:
         """Whether most fronts' rates are known, so that all that is asked of its rack is."""
-        return self.fleet.whole(self.group(server))
+        return self.fleet.is_synced(self.group(server))
 
     def group(self, server: Server) -> int:
         return self.groups[server.row.cell % len(self.racks)]
@@ -466,7 +468,7 @@
     def arrivals_part(self) -> float:
         """Of a holder's idle that an arrival takes: as many others come there before the account knows."""
         facts = self.facts
-        age = ASK_WAIT if self.fleet.talks else facts.plant.note_delay + facts.plant.note_every // 2
+        age = ASK_WAIT if self.fleet.gossip_enabled else facts.plant.note_delay + facts.plant.note_every // 2
         come = self.arrivals.rate(self.now, 10 * SECOND) * facts.fronts
         meet = come / max(len(self.table.ready), 1) * age / SECOND
         return 1 / (1 + min(meet, (facts.fronts - 1)))
@@ -484,7 +486,7 @@
                 min(link.known_at(taken) / ratio, math.inf if ratio < stops else link.kb)
                 for taken, ratio in link.loads
                 if ratio > 0.25
-                and taken > self.fleet.whole_since[self.group(server)]
+                and taken > self.fleet.synced_since[self.group(server)]
                 and self.steady(link, taken)
             )
             if self.whole(server)
@@ -580,7 +582,7 @@
         # Guards against hundreds of fronts that each connect to all servers and ask all for signs of life:
         # where we have sessions is good enough. It may harm where ours alone fill a link: half its idle stays
         met = next((s for s in by_idle if s.sessions and s.row.zone == best.row.zone), best)
-        many = self.fleet.talks and self.facts.fronts > CROWD
+        many = self.fleet.gossip_enabled and self.facts.fronts > CROWD
         best = met if many and idle[met.row.server] >= NEAR * idle[best.row.server] > 0 else best
         if idle[best.row.server] < 0:
             playing = [s for s in self.sessions.values() if s.began is not None]
@@ -673,7 +675,11 @@
         slot = self.slot(server)
         if not known and server.lost is None:
             return server.sent + slot * fronts
-        if known and self.fleet.asks and not self.fleet.shares.own(self.now, self.group(server)):
+        if (
+            known
+            and self.fleet.queries_owners
+            and not self.fleet.shares.may_use_own(self.now, self.group(server))
+        ):
             return self.now + ASK_WAIT  # our part is lent, or may be by our life before: a keeper grants
         run = min(fronts, int(COLD_USE * SECOND / (slot * self.wanted_rate(server))), self.burst(slot))
         turn = (self.now + self.facts.wall) // slot
@@ -694,7 +700,10 @@
     def burst(self, slot: int) -> int:
         """Set-ups that may come at once, by turns or by one keeper's grants: together the two roots and two
         that are chance beyond the N slots of the rule's span, less those that a connection holds back."""
-        among, late = 1 + KEEPERS if self.fleet.asks else 1, self.facts.permissions.connect_timeout / slot
+        among, late = (
+            1 + KEEPERS if self.fleet.queries_owners else 1,
+            self.facts.permissions.connect_timeout / slot,
+        )
         return max(1, int((2 * math.sqrt(self.facts.rules.fall / slot) + 2 - late) / among))
 
     def wanted_rate(self, server: Server) -> float:
@@ -711,7 +720,7 @@
         return (
             server.warm_at > self.now - self.tell_every
             or self.old(server)
-            or self.fleet.counts.flagged(server.row.server)
+            or self.fleet.counts.is_flagged(server.row.server)
         )
 
     def old(self, server: Server) -> bool:
@@ -825,9 +834,9 @@
             (True, self.resizing()),
             (self.facts.asked_discovery, self.watch()),
             (self.told_by_probes, self.probing()),
-            (self.fleet.asks, self.answering()),
-            (self.fleet.talks, self.fleet.talking(self.rebook, self.rates)),
-            (self.fleet.talks, self.telling()),
+            (self.fleet.queries_owners, self.answering()),
+            (self.fleet.gossip_enabled, self.fleet.gossip(self.rebook, self.rates)),
+            (self.fleet.gossip_enabled, self.telling()),
         ]
         return [script for want, script in wanted if want]
 
@@ -837,7 +846,7 @@
             next_time = self.now + self.resize_every
             if self.sessions:
                 groups = {self.group(s) for s in self.table.in_use()}
-                yield from self.fleet.ask(groups, words.AskOurs, self.now + ASK_WAIT)
+                yield from self.fleet.query(groups, words.InUseQuery, self.now + ASK_WAIT)
             for server in self.table.in_use():
                 yield from self.resize(server)
             yield act.Wait(next_time)
@@ -884,8 +893,8 @@
         It covers keepers that are gone, and messages that are lost. It may harm where answers are slow."""
         req, until = sess.req, min(self.now + ASK_WAIT, sess.deadline)
         groups = self.groups_of(req.home, req.span)
-        question = functools.partial(words.AskHolders, home=req.home, span=req.span, zone=self.facts.zone)
-        yield from self.fleet.ask(self.fleet.asked_about(groups, ASKED, self.chance), question, until)
+        question = functools.partial(words.HoldersQuery, home=req.home, span=req.span, zone=self.facts.zone)
+        yield from self.fleet.query(self.fleet.sample_groups(groups, ASKED, self.chance), question, until)
         open_now = [s for s in self.open_to(sess) if self.rested_until(s) <= self.now]
         if not self.told_by_probes or any(self.whole(s) or self.hinted(s) for s in open_now):
             return
@@ -927,8 +936,8 @@
             got = yield act.Listen(None)
             word = self.word[1] if isinstance(got, ev.PeerMessage) and self.word[0] is got.payload else None
             match got, word:
-                case ev.PeerMessage(), words.AskOurs(number):
-                    theirs = self.fleet.counts.told(got.peer)
+                case ev.PeerMessage(), words.InUseQuery(number):
+                    theirs = self.fleet.counts.amounts_of(got.peer)
                     about = [
                         s
                         for at in theirs
@@ -937,7 +946,7 @@
                         and s.row.state is not ServerState.GONE
                     ]
                     idle, granted = self.idles(about, 1.0), None
-                case ev.PeerMessage(), words.AskHolders(number, home, span, zone):
+                case ev.PeerMessage(), words.HoldersQuery(number, home, span, zone):
                     about = self.holders_kept(home, span)
                     idle = self.idles(about, 1.0)
                     about.sort(key=lambda s: -idle[s.row.server] * (1.0 if s.row.zone == zone else NEAR))
@@ -946,23 +955,23 @@
                     granted = next((s for s in about if self.may_grant(s, got.peer)), None)
                 case _:
                     continue
-            if not any(self.fleet.whole(group) for group in self.fleet.groups):
+            if not any(self.fleet.is_synced(group) for group in self.fleet.groups):
                 continue  # we know no better than who asks
             rooms = [
-                self.fleet.room(
+                self.fleet.status_for(
                     got.peer, s.row.server, idle[s.row.server], self.asked(s), self.warm(s), s is granted
                 )
                 for s in about
             ]
-            yield from self.fleet.answer(got.peer, number, rooms, isinstance(word, words.AskOurs))
+            yield from self.fleet.reply(got.peer, number, rooms, isinstance(word, words.InUseQuery))
 
     def may_grant(self, server: Server, peer: int) -> bool:
         """One send to what may be cold, out of the parts lent to us; or a try, for all, of what is avoided.
 
         Guards against hundreds of fronts that each keep a part they can't use, or each try a bad server."""
-        view = self.fleet.evidence.view(self.now, server.row.server, peer)
-        if view.bad(AGAINST):
-            first = self.facts.me in self.fleet.keepers(self.group(server))[:2] and not self.cold(server)
+        view = self.fleet.evidence.summary(self.now, server.row.server, peer)
+        if view.is_bad(AGAINST):
+            first = self.facts.me in self.fleet.owners(self.group(server))[:2] and not self.cold(server)
             rested = first and max(view.failed_at, server.tried) <= self.now - REST
             server.tried = self.now if rested else server.tried
             return rested
@@ -975,9 +984,11 @@
         """Probe in turn, as often as the price allows; messages share the work among fronts."""
         for turn in itertools.count(1):
             ready = self.table.ready
-            if self.fleet.talks:  # all are told what each hears: where we play the connection is there
+            if (
+                self.fleet.gossip_enabled
+            ):  # all are told what each hears: where we play the connection is there
                 ready = [s for s in self.table.in_use() if s.row.state is ServerState.READY] or ready
-            if ready and not self.fleet.deaf():
+            if ready and not self.fleet.most_owners_silent():
                 first = len(ready) * self.facts.me // self.facts.fronts
                 yield act.Probe(ready[(first + turn) % len(ready)].row.server)
             worth = PROBE_POINTS / max(self.facts.prices.probe, PROBE_POINTS / 4)
@@ -994,15 +1005,15 @@
         rates = [
             (self.group(s), s.said_now(self.now, self.now - (REST << LONGEST), self.old(s)))
             for s in servers
-            if self.fleet.talks
+            if self.fleet.gossip_enabled
         ]
-        yield from self.fleet.tell(rates)
+        yield from self.fleet.send_changes(rates)
 
-    def rates(self, keeper: int) -> list[words.Rate]:
+    def rates(self, keeper: int) -> list[words.ServerRate]:
         return [
-            words.Rate(s.row.server, s.own(), warm=self.old(s))
+            words.ServerRate(s.row.server, s.own(), warm=self.old(s))
             for s in self.table.in_use()
-            if keeper in self.fleet.others(self.group(s))
+            if keeper in self.fleet.other_owners(self.group(s))
         ]
 
     def telling(self) -> Script:
@@ -1017,7 +1028,7 @@
                 ]
             )
             cold = self.table.cold(self.now, self.facts.rules.cold)
-            yield from self.fleet.lend(sorted({self.group(s) for s in cold}))
+            yield from self.fleet.lend_shares(sorted({self.group(s) for s in cold}))
             yield act.Wait(self.now + self.tell_every)
 
     def watch(self) -> Script:
--- a/ponddoor/fleet/counts.py
+++ b/ponddoor/fleet/counts.py
@@ -11,7 +11,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-KEYS = 4096  # that one front may tell of
+MAX_KEYS = 4096  # that one front may tell of
 
 
 @dataclass(frozen=True, slots=True)
@@ -21,7 +21,7 @@
     least: float
     likely: float
     most: float
-    since: int
+    oldest_age: int
 
 
 @dataclass(slots=True)
@@ -31,17 +31,17 @@
     stamp: int
     amount: float
     flag: bool
-    at: int
+    received_at: int
 
 
 @dataclass(slots=True)
 class Origin:
     """One front's registers. `void`: what was told before this stamp and not since counts no more."""
 
-    life: int = 0
-    void: int = -1
+    incarnation: int = 0
+    void_before: int = -1
     stamp: int = -1
-    whole_at: int | None = None  # when a telling of all last came
+    full_update_at: int | None = None  # when a telling of all last came
     doubted: bool = False
     cells: dict[int, Cell] = field(default_factory=dict)
 
@@ -55,7 +55,7 @@
         self._holders: dict[int, dict[int, Cell]] = {}
         self.refused = 0
 
-    def tell(
+    def update(
         self,
         now: int,
         front: int,
@@ -66,32 +66,32 @@
     ) -> set[int]:
         """A front's own word. Returns the keys of which the likely figure may have changed."""
         origin = self.origins.setdefault(front, Origin())
-        if life < origin.life:
+        if life < origin.incarnation:
             self.refused += 1
             return set()
         changed: set[int] = set()
-        if life > origin.life:  # its sessions of the life before are not its own any more
-            changed |= self.end(front)
+        if life > origin.incarnation:  # its sessions of the life before are not its own any more
+            changed |= self.clear(front)
             origin = self.origins.setdefault(front, Origin(life))
-            origin.life = life
+            origin.incarnation = life
         for key, amount, flag in rows:
             held = origin.cells.get(key)
-            older = stamp < origin.void or (held is not None and stamp <= held.stamp)
-            if older or (held is None and len(origin.cells) >= KEYS):
+            older = stamp < origin.void_before or (held is not None and stamp <= held.stamp)
+            if older or (held is None and len(origin.cells) >= MAX_KEYS):
                 self.refused += 1
                 continue
             self._put(front, origin, key, Cell(stamp, max(amount, 0.0), flag, now))
             changed.add(key)
-        if whole and stamp > origin.void:
-            origin.void = stamp
+        if whole and stamp > origin.void_before:
+            origin.void_before = stamp
             for key in [key for key, cell in origin.cells.items() if cell.stamp < stamp]:
                 self._drop(front, origin, key)
                 changed.add(key)
-            origin.whole_at = now
+            origin.full_update_at = now
         origin.stamp = max(origin.stamp, stamp)
         return changed
 
-    def doubt(self, front: int, doubted: bool) -> set[int]:
+    def set_doubted(self, front: int, doubted: bool) -> set[int]:
         """A front is taken for dead, or no longer: its part counts as at most, and not as likely."""
         origin = self.origins.get(front)
         if origin is None or origin.doubted == doubted:
@@ -102,7 +102,7 @@
         origin.doubted = doubted
         return set(origin.cells)
 
-    def end(self, front: int, key: int | None = None) -> set[int]:
+    def clear(self, front: int, key: int | None = None) -> set[int]:
         """What a front told, of one key or all, is known to have ended. A later word of that life stands."""
         origin = self.origins.get(front)
         if origin is None:
@@ -111,31 +111,31 @@
         for one in keys:
             self._drop(front, origin, one)
         if key is None:
-            origin.doubted, origin.whole_at = False, None
-            origin.void = origin.stamp = -1
+            origin.doubted, origin.full_update_at = False, None
+            origin.void_before = origin.stamp = -1
         return set(keys)
 
-    def end_key(self, key: int) -> None:
+    def clear_key(self, key: int) -> None:
         """All that anybody had there has ended: its process is another one now."""
         for front in list(self._holders.get(key, ())):
-            self.end(front, key)
+            self.clear(front, key)
 
     def likely(self, key: int) -> float:
         """The sum of all but doubted fronts."""
         return self._likely.get(key, 0.0)
 
-    def part(self, front: int, key: int) -> float:
+    def amount_of(self, front: int, key: int) -> float:
         """What one front last told."""
         cell = self._holders.get(key, {}).get(front)
         return cell.amount if cell is not None else 0.0
 
-    def flagged(self, key: int) -> bool:
+    def is_flagged(self, key: int) -> bool:
         """Whether a front that is not doubted told the bit, and asks something there."""
         holders = self._holders.get(key, {})
         flagged = (front for front, cell in holders.items() if cell.flag and cell.amount > 0)
         return any(not self.origins[front].doubted for front in flagged)
 
-    def told(self, front: int) -> dict[int, float]:
+    def amounts_of(self, front: int) -> dict[int, float]:
         """All that one front has told."""
         origin = self.origins.get(front)
         return {key: cell.amount for key, cell in origin.cells.items()} if origin is not None else {}
@@ -148,26 +148,30 @@
             doubted = self.origins[front].doubted
             most += cell.amount
             likely += 0.0 if doubted else cell.amount
-            least += cell.amount if not doubted and cell.at > now - fresh else 0.0
-            oldest = min(oldest, cell.at)
+            least += cell.amount if not doubted and cell.received_at > now - fresh else 0.0
+            oldest = min(oldest, cell.received_at)
         return Bounds(least, likely, most, now - oldest)
 
     def state(self) -> dict[int, tuple[int, int, dict[int, tuple[int, float, bool]]]]:
         """All registers, without what is of this front alone (times, doubts)."""
         return {
-            front: (o.life, o.void, {key: (c.stamp, c.amount, c.flag) for key, c in o.cells.items()})
+            front: (
+                o.incarnation,
+                o.void_before,
+                {key: (c.stamp, c.amount, c.flag) for key, c in o.cells.items()},
+            )
             for front, o in self.origins.items()
         }
 
-    def join(self, now: int, state: dict[int, tuple[int, int, dict[int, tuple[int, float, bool]]]]) -> None:
+    def merge(self, now: int, state: dict[int, tuple[int, int, dict[int, tuple[int, float, bool]]]]) -> None:
         """Join another front's registers to these."""
         for front, (life, void, cells) in state.items():
             origin = self.origins.setdefault(front, Origin())
-            if life < origin.life:
+            if life < origin.incarnation:
                 continue
             for key, (stamp, amount, flag) in cells.items():
-                self.tell(now, front, life, stamp, False, [(key, amount, flag)])
-            self.tell(now, front, life, void, True, [])
+                self.update(now, front, life, stamp, False, [(key, amount, flag)])
+            self.update(now, front, life, void, True, [])
 
     def _put(self, front: int, origin: Origin, key: int, cell: Cell) -> None:
         self._drop(front, origin, key)
--- a/ponddoor/fleet/explore.py
+++ b/ponddoor/fleet/explore.py
@@ -22,7 +22,7 @@
     owner: Shares
     keeper: Shares
     now: int = 0
-    life: int = 1
+    incarnation: int = 1
     flying: list[tuple[str, int, int]] = field(default_factory=list)
     crashes: int = 1
     losses: int = 1
@@ -33,9 +33,18 @@
         lenders = [
             (n, one.number, list(one.asked.items()), one.until) for n, one in self.keeper._lenders.items()
         ]
-        owner = (self.owner._silent_until, self.owner._lent)
+        owner = (self.owner._own_share_usable_at, self.owner._lent)
         return repr(
-            (self.now, self.life, owner, lenders, sorted(self.flying), self.crashes, self.losses, self.asked)
+            (
+                self.now,
+                self.incarnation,
+                owner,
+                lenders,
+                sorted(self.flying),
+                self.crashes,
+                self.losses,
+                self.asked,
+            )
         )
 
 
@@ -52,7 +61,7 @@
     if state.asked:
         other = then()
         other.asked -= 1
-        other.flying.append(("question", other.life, other.keeper.question(other.now, OWNER)))
+        other.flying.append(("question", other.incarnation, other.keeper.lease_request(other.now, OWNER)))
     for at, (what, life, number) in enumerate(state.flying):
         other = then()
         del other.flying[at]
@@ -60,7 +69,7 @@
             other.owner.lend(other.now, (GROUP,), KEEPER, life)
             other.flying.append(("lending", life, number))
         elif what == "lending":
-            other.keeper.lent(other.now, OWNER, life == other.life, number, (GROUP,))
+            other.keeper.accept_lease(other.now, OWNER, life == other.incarnation, number, (GROUP,))
         if state.losses:
             other = then()
             other.losses -= 1
@@ -71,7 +80,7 @@
         other.owner = make(2, other.now, LEASE, 0.0)
         other = then()
         other.crashes -= 1
-        other.keeper, other.life = make(2, other.now, LEASE, 0.0), other.life + 1
+        other.keeper, other.incarnation = make(2, other.now, LEASE, 0.0), other.incarnation + 1
     return found
 
 
@@ -81,7 +90,7 @@
     seen, todo = {first.key()}, deque([first])
     while todo:
         state = todo.popleft()
-        if state.owner.own(state.now, GROUP) and OWNER in state.keeper.lent_by(state.now, GROUP):
+        if state.owner.may_use_own(state.now, GROUP) and OWNER in state.keeper.lenders_of(state.now, GROUP):
             return len(seen), f"the part is with both: {state.key()}"
         for other in steps(state, make):
             if (key := other.key()) not in seen:
--- a/ponddoor/fleet/measure.py
+++ b/ponddoor/fleet/measure.py
@@ -28,8 +28,8 @@
         lent: set[int] = set()
         for node in run.nodes:
             if node.fleet is not None:
-                lent |= node.fleet.shares.lent_by(run.clock(node), group)
-        own = {n.number for n in run.nodes if n.fleet and n.fleet.shares.own(run.clock(n), group)}
+                lent |= node.fleet.shares.lenders_of(run.clock(node), group)
+        own = {n.number for n in run.nodes if n.fleet and n.fleet.shares.may_use_own(run.clock(n), group)}
         used += len(lent | own)
     return {
         "words a front a second": round(run.found.messages / fronts / seconds, 2),
--- a/ponddoor/fleet/mutants.py
+++ b/ponddoor/fleet/mutants.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from ponddoor.fleet.counts import Counts
-from ponddoor.fleet.evidence import Evidence, Seen
+from ponddoor.fleet.evidence import Evidence, Observation
 from ponddoor.fleet.presence import Presence
 from ponddoor.fleet.shares import Shares
 from ponddoor.fleet.simulation import Schedule, drawn
@@ -17,24 +17,24 @@
 class Unfenced(Shares):
     """A keeper that takes what was lent to an earlier life of its own."""
 
-    def lent(self, now: int, front: int, ours: bool, number: int, groups: tuple[int, ...]) -> bool:
-        return super().lent(now, front, True, number, groups)
+    def accept_lease(self, now: int, front: int, ours: bool, number: int, groups: tuple[int, ...]) -> bool:
+        return super().accept_lease(now, front, True, number, groups)
 
 
 class Endless(Shares):
     """A lease that runs on at the keeper."""
 
-    def _at_keeper(self) -> int:
+    def _borrower_lease(self) -> int:
         return 4 * self.lease
 
 
 class Marginless(Shares):
     """Leases without the margin for drift."""
 
-    def _at_lender(self) -> int:
+    def _lender_lease(self) -> int:
         return self.lease
 
-    def _at_keeper(self) -> int:
+    def _borrower_lease(self) -> int:
         return self.lease
 
 
@@ -48,22 +48,22 @@
 class Hasty(Shares):
     """Who has just begun uses its part at once, whatever its earlier life has lent."""
 
-    def own(self, now: int, group: int) -> bool:
-        self._silent_until = now
-        return super().own(now, group)
+    def may_use_own(self, now: int, group: int) -> bool:
+        self._own_share_usable_at = now
+        return super().may_use_own(now, group)
 
 
 class Greedy(Shares):
     """A front uses its own part, lent or not."""
 
-    def own(self, now: int, group: int) -> bool:
-        return now >= self._silent_until
+    def may_use_own(self, now: int, group: int) -> bool:
+        return now >= self._own_share_usable_at
 
 
 class Lifeless(Counts):
     """Words of an earlier life count like any other."""
 
-    def tell(
+    def update(
         self,
         now: int,
         front: int,
@@ -73,13 +73,15 @@
         rows: Iterable[tuple[int, float, bool]],
     ) -> set[int]:
         held = self.origins.get(front)
-        return super().tell(now, front, life if held is None else max(life, held.life), stamp, whole, rows)
+        return super().update(
+            now, front, life if held is None else max(life, held.incarnation), stamp, whole, rows
+        )
 
 
 class Stampless(Counts):
     """The last word to come counts, in whatever order it was said."""
 
-    def tell(
+    def update(
         self,
         now: int,
         front: int,
@@ -89,19 +91,21 @@
         rows: Iterable[tuple[int, float, bool]],
     ) -> set[int]:
         held = self.origins.get(front)
-        if held is not None and held.life == life:
+        if held is not None and held.incarnation == life:
             for key, _, _ in list(rows):
                 if key in held.cells:
                     held.cells[key].stamp = min(held.cells[key].stamp, stamp - 1)
-        return super().tell(now, front, life, stamp, whole, rows)
+        return super().update(now, front, life, stamp, whole, rows)
 
 
 class Forgetful(Presence):
     """Words of an earlier life are heard like any other."""
 
-    def met(self, now: int, front: int, life: int) -> bool:
+    def accept_message(self, now: int, front: int, life: int) -> bool:
         member = self.members.get(front)
-        return super().met(now, front, max(life, member.life) if member is not None else life)
+        return super().accept_message(
+            now, front, max(life, member.incarnation) if member is not None else life
+        )
 
 
 class _With(Fleet):
@@ -117,16 +121,16 @@
         super().__init__(facts, now, terms, groups)
         self.shares = self.shares_kind(facts.fronts, now, terms.lease, self.drift)
         self.counts = self.counts_kind()
-        self.evidence = self.evidence_kind(terms.evidence)
-        life, seed = self.presence.life, facts.seed
+        self.evidence = self.evidence_kind(terms.evidence_ttl)
+        life, seed = self.presence.incarnation, facts.seed
         self.presence = self.presence_kind(facts.me, facts.fronts, life, now, terms.timing, seed)
 
 
 class ManyVoices(Evidence):
     """Each word is a voice of its own, whoever says it."""
 
-    def tell(self, now: int, witness: int, life: int, stamp: int, server: int, seen: Seen) -> bool:
-        return super().tell(now, witness * 100_000 + stamp, life, stamp, server, seen)
+    def record(self, now: int, witness: int, life: int, stamp: int, server: int, seen: Observation) -> bool:
+        return super().record(now, witness * 100_000 + stamp, life, stamp, server, seen)
 
 
 def _made(**kinds: Any) -> type[Fleet]:
--- a/ponddoor/fleet/presence.py
+++ b/ponddoor/fleet/presence.py
@@ -18,17 +18,17 @@
 from ponddoor.interface import words
 from ponddoor.interface.chance import LONG_AGO, Chance
 
-DAY = 864_000  # in the steps of a life, tenths of a second
-HELPERS = 3  # who are asked to ping one that did not answer us
-CONFIRMED = 3  # accusers after the first, with whom a suspicion is believed soonest
-LOOKED = 8  # pings of which the outcome is kept
-MOST_HEALTH = 8
-RELAYED = 64  # pings for others that are out at once
-DEAD_EACH = 4  # of so many rounds, one asks those who are dead too
-Out = list[tuple[int, words.Word]]
+DAY_TENTHS_S = 864_000  # in the steps of a life, tenths of a second
+PING_REQUEST_FANOUT = 3  # who are asked to ping one that did not answer us
+MAX_CONFIRMATIONS = 3  # accusers after the first, with whom a suspicion is believed soonest
+OUTCOMES_KEPT = 8  # pings of which the outcome is kept
+MAX_HEALTH_MULTIPLIER = 8
+MAX_RELAYED_PINGS = 64  # pings for others that are out at once
+DEAD_PING_ROUNDS = 4  # of so many rounds, one asks those who are dead too
+Out = list[tuple[int, words.Message]]
 
 
-class Stands(Enum):
+class FrontState(Enum):
     """How another front stands, as far as this one knows."""
 
     ALIVE = "alive"
@@ -36,16 +36,16 @@
     DEAD = "dead"
 
 
-class Hears(Enum):
+class Connectivity(Enum):
     """How this front hears the others."""
 
-    WELL = "well"
-    PART = "part"  # many do not answer, others do
-    NOTHING = "nothing"  # neither answers nor any other word
-    UNHEARD = "unheard"  # others' words come, but nobody answers ours
+    FULL = "well"
+    PARTIAL = "part"  # many do not answer, others do
+    NONE = "nothing"  # neither answers nor any other word
+    INBOUND_ONLY = "unheard"  # others' words come, but nobody answers ours
 
 
-class Outcome(Enum):
+class PingOutcome(Enum):
     """What became of a ping."""
 
     ANSWERED = "answered"
@@ -57,22 +57,22 @@
 class Timing:
     """Microseconds: between two pings, until an answer is late, and how long a suspicion runs."""
 
-    period: int
-    wait: int
-    least: int
-    most: int
+    ping_period: int
+    ack_timeout: int
+    min_suspicion: int
+    max_suspicion: int
 
 
 @dataclass(slots=True)
 class Member:
     """Another front. `by` are its accusers; `met` is when any word of its own last came."""
 
-    life: int = 0
-    bump: int = 0
-    since: int | None = None  # suspected since
-    by: set[int] = field(default_factory=set)
-    met: int = LONG_AGO
-    corrected: int = LONG_AGO
+    incarnation: int = 0
+    refutations: int = 0
+    suspected_at: int | None = None
+    accusers: set[int] = field(default_factory=set)
+    heard_at: int = LONG_AGO
+    corrected_at: int = LONG_AGO
 
 
 @dataclass(slots=True)
@@ -93,171 +93,183 @@
     def __init__(self, me: int, fronts: int, life: int, now: int, timing: Timing, seed: int) -> None:
         self.me, self.fronts, self.timing, self.chance = me, fronts, timing, Chance(seed)
         self.chance.draw(2)
-        self.life, self.bump, self._first, self._born = life, 0, life, now
+        self.incarnation, self.refutations, self._first, self._born = life, 0, life, now
         self.members = {front: Member() for front in range(fronts) if front != me}
-        self.health = 0
-        self.silent = 0  # pings in a row that nobody answered, nor any helper
-        self.outcomes: deque[Outcome] = deque(maxlen=LOOKED)
+        self.health_multiplier = 0
+        self.unanswered_in_row = 0  # pings in a row that nobody answered, nor any helper
+        self.outcomes: deque[PingOutcome] = deque(maxlen=OUTCOMES_KEPT)
         self.version = 0  # counts changes of how anybody stands
-        self.next_due = now + self.chance.draw(timing.period)
+        self.next_due = now + self.chance.draw(timing.ping_period)
         self.refuted = 0
         self._ping: _Ping | None = None
         self._number = 0
         self._ring: list[int] = []
         self._rounds = 0
-        self._rumours: dict[int, int] = {}  # front: how often its row was told
+        self._gossip_counts: dict[int, int] = {}  # front: how often its row was told
         # By number: for whom we ping, under which number of its own, whom, until when
         self._relayed: dict[int, tuple[int, int, int, int]] = {}
         self._dead: set[int] = set()
         self._suspects: set[int] = set()  # who is suspected and not dead yet
-        self._words = LONG_AGO  # when any word last came
+        self._last_heard_at = LONG_AGO  # when any word last came
 
     # What is known
 
-    def stands(self, front: int) -> Stands:
+    def state_of(self, front: int) -> FrontState:
         """As of the last `due`, or word. Of a front that is not of the fleet: dead."""
         if front == self.me:
-            return Stands.ALIVE
+            return FrontState.ALIVE
         member = self.members.get(front)
         if member is None or front in self._dead:
-            return Stands.DEAD
-        return Stands.ALIVE if member.since is None else Stands.SUSPECT
+            return FrontState.DEAD
+        return FrontState.ALIVE if member.suspected_at is None else FrontState.SUSPECT
 
-    def dead(self) -> list[int]:
+    def dead_fronts(self) -> list[int]:
         """Who is taken for dead."""
         return sorted(self._dead)
 
-    def live(self) -> int:
+    def live_count(self) -> int:
         """Fronts that are not dead, this one among them."""
         return self.fronts - len(self._dead)
 
-    def reach(self) -> float:
+    def ack_ratio(self) -> float:
         """The share of the fleet that answers us, from the last pings; 1 where none was sent yet."""
         if not self.outcomes:
             return 1.0
-        return sum(one is Outcome.ANSWERED for one in self.outcomes) / len(self.outcomes)
+        return sum(one is PingOutcome.ANSWERED for one in self.outcomes) / len(self.outcomes)
 
-    def hears(self, now: int) -> Hears:
+    def connectivity(self, now: int) -> Connectivity:
         """Whether this front is the one that hears nothing. With a few pings out it has no opinion yet."""
-        if self.silent >= HELPERS:
-            heard = now - self._words < HELPERS * self.timing.period
-            return Hears.UNHEARD if heard else Hears.NOTHING
-        return Hears.WELL if self.reach() >= 0.6 else Hears.PART
+        if self.unanswered_in_row >= PING_REQUEST_FANOUT:
+            heard = now - self._last_heard_at < PING_REQUEST_FANOUT * self.timing.ping_period
+            return Connectivity.INBOUND_ONLY if heard else Connectivity.NONE
+        return Connectivity.FULL if self.ack_ratio() >= 0.6 else Connectivity.PARTIAL
 
-    def life_of(self, front: int) -> int:
+    def incarnation_of(self, front: int) -> int:
         """The life in which a front was last heard of; 0 if never."""
         member = self.members.get(front)
-        return self.life if front == self.me else member.life if member is not None else 0
+        return self.incarnation if front == self.me else member.incarnation if member is not None else 0
 
-    def believable(self, now: int, life: int) -> bool:
+    def is_plausible(self, now: int, life: int) -> bool:
         """Guards against a life that nobody can have begun: one over a day ahead of our own clock."""
-        return 0 < life <= self._first + (now - self._born) // 100_000 + DAY
+        return 0 < life <= self._first + (now - self._born) // 100_000 + DAY_TENTHS_S
 
     # What happens
 
-    def met(self, now: int, front: int, life: int) -> bool:
+    def accept_message(self, now: int, front: int, life: int) -> bool:
         """A word of its own has come; whether it counts: one of an earlier life does not."""
         member = self.members.get(front)
-        if member is None or not self.believable(now, life) or life < member.life:
+        if member is None or not self.is_plausible(now, life) or life < member.incarnation:
             return False
-        self._words = member.met = now
-        if life > member.life:
-            self._take(now, words.Row(front, life, 0, None))
+        self._last_heard_at = member.heard_at = now
+        if life > member.incarnation:
+            self._merge_row(now, words.MemberRow(front, life, 0, None))
         if front in self._dead:  # heard again: our own evidence goes first
             self._dead.discard(front)
-            member.since = None
+            member.suspected_at = None
             self.version += 1
         return True
 
-    def correction(self, now: int, front: int, life: int) -> Out:
+    def stale_incarnation_reply(self, now: int, front: int, life: int) -> Out:
         """Guards against a front whose clock was set back since its last start, and whom nobody would hear:
         it is told of the life that it has to outdo, once in a while."""
         member = self.members.get(front)
-        if member is None or not 0 < life < member.life or now - member.corrected < self.timing.period:
+        if (
+            member is None
+            or not 0 < life < member.incarnation
+            or now - member.corrected_at < self.timing.ping_period
+        ):
             return []
-        member.corrected = now
+        member.corrected_at = now
         self._number = (self._number + 1) % 65536
-        row = words.Row(front, member.life, member.bump, None)
-        return [(front, words.Ping(self._number, self.life, self.bump, (row,)))]
+        row = words.MemberRow(front, member.incarnation, member.refutations, None)
+        return [(front, words.Ping(self._number, self.incarnation, self.refutations, (row,)))]
 
-    def due(self, now: int) -> Out:
+    def poll(self, now: int) -> Out:
         """What is to be sent now."""
         out: Out = []
         if now < self.next_due:
             return out
-        late = now - self.next_due > self.timing.wait + self.timing.period
+        late = now - self.next_due > self.timing.ack_timeout + self.timing.ping_period
         for number in [number for number, one in self._relayed.items() if one[3] <= now]:
             peer, theirs, of, _ = self._relayed.pop(number)
-            out.append((peer, self._ack(now, peer, theirs, of, missed=True)))
+            out.append((peer, self._make_ack(now, peer, theirs, of, missed=True)))
         ping = self._ping
         if late:  # we were stopped ourselves: who did not answer then may well have
             self._ping, ping = None, None
-            self.health = min(self.health + 1, MOST_HEALTH)
-        wait = self.timing.wait * (1 + self.health)
+            self.health_multiplier = min(self.health_multiplier + 1, MAX_HEALTH_MULTIPLIER)
+        wait = self.timing.ack_timeout * (1 + self.health_multiplier)
         if ping is not None and not ping.answered and not ping.helped and now >= ping.sent + wait:
             ping.helped = True
-            helpers = self._some(HELPERS, {ping.target})
-            out += [(peer, self._asks(now, peer, ping)) for peer in helpers]
-        if ping is None or now >= ping.sent + max(self.timing.period, 2 * wait):
-            out += self._next(now, ping)
+            helpers = self._random_live_fronts(PING_REQUEST_FANOUT, {ping.target})
+            out += [(peer, self._make_ping_request(now, peer, ping)) for peer in helpers]
+        if ping is None or now >= ping.sent + max(self.timing.ping_period, 2 * wait):
+            out += self._next_ping(now, ping)
         self._expire(now)
-        self.next_due = self._when(now)
+        self.next_due = self._next_due(now)
         return out
 
-    def heard(self, now: int, peer: int, word: words.Word) -> Out:
+    def receive(self, now: int, peer: int, word: words.Message) -> Out:
         """A word of presence has come from another front."""
-        if not isinstance(word, words.Ping | words.Ack | words.Via) or not self.met(now, peer, word.life):
+        if not isinstance(word, words.Ping | words.Ack | words.PingRequest) or not self.accept_message(
+            now, peer, word.incarnation
+        ):
             return []
-        self._take(now, words.Row(peer, word.life, word.bump, None))
+        self._merge_row(now, words.MemberRow(peer, word.incarnation, word.refutations, None))
         for row in word.rows:
-            self._take(now, row)
+            self._merge_row(now, row)
         match word:
             case words.Ping(number):
-                return [(peer, self._ack(now, peer, number, self.me))]
-            case words.Via(number, _, _, _, target) if target in self.members:
-                if len(self._relayed) >= RELAYED:
+                return [(peer, self._make_ack(now, peer, number, self.me))]
+            case words.PingRequest(number, _, _, _, target) if target in self.members:
+                if len(self._relayed) >= MAX_RELAYED_PINGS:
                     return []
                 self._number = (self._number + 1) % 65536
-                until = now + self.timing.wait * (1 + self.health)
+                until = now + self.timing.ack_timeout * (1 + self.health_multiplier)
                 self._relayed[self._number] = (peer, number, target, until)
                 self.next_due = min(self.next_due, until)
-                return [(target, self._says(now, target, self._number))]
+                return [(target, self._make_ping(now, target, self._number))]
             case words.Ack(number, _, _, _, of, missed):
-                return self._answered(now, peer, number, of, missed)
+                return self._take_ack(now, peer, number, of, missed)
         return []
 
     # Inside
 
-    def _answered(self, now: int, peer: int, number: int, of: int, missed: bool) -> Out:
+    def _take_ack(self, now: int, peer: int, number: int, of: int, missed: bool) -> Out:
         relayed = self._relayed.get(number)
         if relayed is not None and relayed[2] == peer == of and not missed:
             del self._relayed[number]
-            return [(relayed[0], self._ack(now, relayed[0], relayed[1], of))]
+            return [(relayed[0], self._make_ack(now, relayed[0], relayed[1], of))]
         ping = self._ping
         if ping is not None and ping.number == number and ping.target == of:
             if missed:
                 ping.nacks += 1
             elif not ping.answered:
                 ping.answered = True
-                self.health = max(self.health - 1, 0)
+                self.health_multiplier = max(self.health_multiplier - 1, 0)
         return []
 
-    def _next(self, now: int, ping: _Ping | None) -> Out:
+    def _next_ping(self, now: int, ping: _Ping | None) -> Out:
         """The ping that is out has ended; the next goes out."""
         if ping is not None:
             member = self.members[ping.target]
-            missed = Outcome.MISSED if ping.nacks else Outcome.SILENT
-            self.silent = self.silent + 1 if missed is Outcome.SILENT and not ping.answered else 0
-            if ping.answered or member.life:  # who never was heard may not have begun
-                self.outcomes.append(Outcome.ANSWERED if ping.answered else missed)
+            missed = PingOutcome.MISSED if ping.nacks else PingOutcome.SILENT
+            self.unanswered_in_row = (
+                self.unanswered_in_row + 1 if missed is PingOutcome.SILENT and not ping.answered else 0
+            )
+            if ping.answered or member.incarnation:  # who never was heard may not have begun
+                self.outcomes.append(PingOutcome.ANSWERED if ping.answered else missed)
             if not ping.answered:
-                self.health = min(self.health + (ping.nacks == 0), MOST_HEALTH)
+                self.health_multiplier = min(
+                    self.health_multiplier + (ping.nacks == 0), MAX_HEALTH_MULTIPLIER
+                )
                 # Guards against a front that hears nothing and accuses all: it holds its tongue
-                if self.hears(now) is not Hears.NOTHING and member.met < ping.sent:
-                    self._take(now, words.Row(ping.target, member.life, member.bump, self.me))
+                if self.connectivity(now) is not Connectivity.NONE and member.heard_at < ping.sent:
+                    self._merge_row(
+                        now, words.MemberRow(ping.target, member.incarnation, member.refutations, self.me)
+                    )
         if not self._ring:
             self._rounds += 1
-            ask_dead = self._rounds % DEAD_EACH == 1
+            ask_dead = self._rounds % DEAD_PING_ROUNDS == 1
             self._ring = [front for front in self.members if ask_dead or front not in self._dead]
             for at in range(len(self._ring) - 1, 0, -1):
                 other = self.chance.draw(at + 1)
@@ -267,117 +279,137 @@
             return []
         self._number = (self._number + 1) % 65536
         self._ping = _Ping(self._number, self._ring.pop(), now)
-        return [(self._ping.target, self._says(now, self._ping.target, self._number))]
+        return [(self._ping.target, self._make_ping(now, self._ping.target, self._number))]
 
-    def _when(self, now: int) -> int:
-        ping, wait = self._ping, self.timing.wait * (1 + self.health)
+    def _next_due(self, now: int) -> int:
+        ping, wait = self._ping, self.timing.ack_timeout * (1 + self.health_multiplier)
         if ping is None:
-            return now + self.timing.period
-        over = ping.sent + max(self.timing.period, 2 * wait)
+            return now + self.timing.ping_period
+        over = ping.sent + max(self.timing.ping_period, 2 * wait)
         soon = over if ping.answered or ping.helped else min(ping.sent + wait, over)
         return max(min([soon, *(one[3] for one in self._relayed.values())]), now + 1)
 
-    def _some(self, count: int, without: Iterable[int]) -> list[int]:
+    def _random_live_fronts(self, count: int, without: Iterable[int]) -> list[int]:
         able = [front for front in self.members if front not in self._dead and front not in without]
         found: list[int] = []
         while able and len(found) < count:
             found.append(able.pop(self.chance.draw(len(able))))
         return found
 
-    def learn(self, now: int, row: words.Row) -> None:
+    def merge_row(self, now: int, row: words.MemberRow) -> None:
         """A row that came with other news."""
-        self._take(now, row)
+        self._merge_row(now, row)
 
-    def troubled(self, most: int) -> tuple[words.Row, ...]:
+    def suspect_or_dead_rows(self, most: int) -> tuple[words.MemberRow, ...]:
         """The rows of who is suspected or dead, so many at most."""
         rows = [
-            words.Row(front, m.life, m.bump, min(m.by, default=self.me))
+            words.MemberRow(front, m.incarnation, m.refutations, min(m.accusers, default=self.me))
             for front, m in self.members.items()
-            if m.since is not None
+            if m.suspected_at is not None
         ]
         return tuple(rows[:most])
 
-    def some(self, count: int) -> list[int]:
+    def random_live_fronts(self, count: int) -> list[int]:
         """So many other fronts that live, by chance."""
-        return self._some(count, ())
+        return self._random_live_fronts(count, ())
 
-    def _take(self, now: int, row: words.Row) -> None:
+    def _merge_row(self, now: int, row: words.MemberRow) -> None:
         """Join a row to what is known: the later life, bump and suspicion win, in any order."""
-        if not self.believable(now, row.life) and row.life:
+        if not self.is_plausible(now, row.incarnation) and row.incarnation:
             return
         if row.front == self.me:
-            self._of_us(row)
+            self._refute(row)
             return
         member = self.members.get(row.front)
-        if member is None or (row.life, row.bump) < (member.life, member.bump):
+        if member is None or (row.incarnation, row.refutations) < (member.incarnation, member.refutations):
             return
-        if (row.life, row.bump) > (member.life, member.bump):
-            held = member.life
-            changed = member.since is not None or row.life > held or row.front in self._dead
-            member.life, member.bump, member.since, member.by = row.life, row.bump, None, set()
+        if (row.incarnation, row.refutations) > (member.incarnation, member.refutations):
+            held = member.incarnation
+            changed = member.suspected_at is not None or row.incarnation > held or row.front in self._dead
+            member.incarnation, member.refutations, member.suspected_at, member.accusers = (
+                row.incarnation,
+                row.refutations,
+                None,
+                set(),
+            )
             self._dead.discard(row.front)
             self._suspects.discard(row.front)
             self.version += changed
-            if changed and row.life == held:  # a suspicion is answered; of a new life its own words tell
-                self._rumours[row.front] = 0
-        if row.accuser is not None and row.accuser not in member.by and len(member.by) <= CONFIRMED:
-            if member.since is None:
-                member.since = now
+            if (
+                changed and row.incarnation == held
+            ):  # a suspicion is answered; of a new life its own words tell
+                self._gossip_counts[row.front] = 0
+        if (
+            row.accuser is not None
+            and row.accuser not in member.accusers
+            and len(member.accusers) <= MAX_CONFIRMATIONS
+        ):
+            if member.suspected_at is None:
+                member.suspected_at = now
                 self._suspects.add(row.front)
                 self.version += 1
-            member.by.add(row.accuser)
-            self._rumours[row.front] = 0
+            member.accusers.add(row.accuser)
+            self._gossip_counts[row.front] = 0
 
-    def _of_us(self, row: words.Row) -> None:
+    def _refute(self, row: words.MemberRow) -> None:
         """What is said of us. An accusation is answered, and a later life of ours outdone: our clock was set
         back since, or somebody talks nonsense within a day."""
-        if row.life > self.life:
-            self.life, self.bump = row.life + 1, 0
+        if row.incarnation > self.incarnation:
+            self.incarnation, self.refutations = row.incarnation + 1, 0
             self.refuted += 1
-        elif row.accuser is not None and (row.life, row.bump) >= (self.life, self.bump):
-            self.life, self.bump = (self.life, row.bump + 1) if row.bump < 255 else (self.life + 1, 0)
-            self.health = min(self.health + 1, MOST_HEALTH)
+        elif row.accuser is not None and (row.incarnation, row.refutations) >= (
+            self.incarnation,
+            self.refutations,
+        ):
+            self.incarnation, self.refutations = (
+                (self.incarnation, row.refutations + 1)
+                if row.refutations < 255
+                else (self.incarnation + 1, 0)
+            )
+            self.health_multiplier = min(self.health_multiplier + 1, MAX_HEALTH_MULTIPLIER)
             self.refuted += 1
 
     def _expire(self, now: int) -> None:
-        if self.hears(now) in (Hears.NOTHING, Hears.UNHEARD):
+        if self.connectivity(now) in (Connectivity.NONE, Connectivity.INBOUND_ONLY):
             return  # nobody could have answered us
         for front in list(self._suspects):
             member = self.members[front]
-            if member.since is None or member.met > member.since:
+            if member.suspected_at is None or member.heard_at > member.suspected_at:
                 continue  # we have heard it ourselves since
-            more = min(len(member.by) - 1, CONFIRMED)
-            span = self.timing.most - self.timing.least
-            part = 1 - math.log(1 + more) / math.log(1 + CONFIRMED)
-            if now - member.since >= self.timing.least + round(span * part):
+            more = min(len(member.accusers) - 1, MAX_CONFIRMATIONS)
+            span = self.timing.max_suspicion - self.timing.min_suspicion
+            part = 1 - math.log(1 + more) / math.log(1 + MAX_CONFIRMATIONS)
+            if now - member.suspected_at >= self.timing.min_suspicion + round(span * part):
                 self._dead.add(front)
                 self._suspects.discard(front)
                 self.version += 1
 
-    def _rows(self, to: int) -> tuple[words.Row, ...]:
+    def _rows_for(self, to: int) -> tuple[words.MemberRow, ...]:
         """The rows that were told least, what is held against the hearer first; each is told a few times."""
         enough = 3 * max(self.fronts, 2).bit_length()
-        fresh = sorted(self._rumours, key=lambda front: (self._rumours[front], front))
-        accused = self.members[to].since is not None
-        chosen = [to] * accused + [front for front in fresh if front != to][: words.ROWS - accused]
+        fresh = sorted(self._gossip_counts, key=lambda front: (self._gossip_counts[front], front))
+        accused = self.members[to].suspected_at is not None
+        chosen = [to] * accused + [front for front in fresh if front != to][: words.MAX_MEMBER_ROWS - accused]
         rows = []
         for front in chosen:
             member = self.members[front]
-            accuser = min(member.by, default=self.me) if member.since is not None else None
+            accuser = min(member.accusers, default=self.me) if member.suspected_at is not None else None
             if front != to and accuser is not None:  # each telling names another accuser
-                accuser = sorted(member.by)[self._rumours.get(front, 0) % len(member.by)]
-            rows.append(words.Row(front, member.life, member.bump, accuser))
-            if front in self._rumours:
-                self._rumours[front] += 1
-                if self._rumours[front] >= enough:
-                    del self._rumours[front]
+                accuser = sorted(member.accusers)[self._gossip_counts.get(front, 0) % len(member.accusers)]
+            rows.append(words.MemberRow(front, member.incarnation, member.refutations, accuser))
+            if front in self._gossip_counts:
+                self._gossip_counts[front] += 1
+                if self._gossip_counts[front] >= enough:
+                    del self._gossip_counts[front]
         return tuple(rows)
 
-    def _says(self, now: int, to: int, number: int) -> words.Ping:
-        return words.Ping(number, self.life, self.bump, self._rows(to))
+    def _make_ping(self, now: int, to: int, number: int) -> words.Ping:
+        return words.Ping(number, self.incarnation, self.refutations, self._rows_for(to))
 
-    def _asks(self, now: int, to: int, ping: _Ping) -> words.Via:
-        return words.Via(ping.number, self.life, self.bump, self._rows(to), ping.target)
+    def _make_ping_request(self, now: int, to: int, ping: _Ping) -> words.PingRequest:
+        return words.PingRequest(
+            ping.number, self.incarnation, self.refutations, self._rows_for(to), ping.target
+        )
 
-    def _ack(self, now: int, to: int, number: int, of: int, missed: bool = False) -> words.Ack:
-        return words.Ack(number, self.life, self.bump, self._rows(to), of, missed)
+    def _make_ack(self, now: int, to: int, number: int, of: int, missed: bool = False) -> words.Ack:
+        return words.Ack(number, self.incarnation, self.refutations, self._rows_for(to), of, missed)
--- a/ponddoor/fleet/shares.py
+++ b/ponddoor/fleet/shares.py
@@ -17,7 +17,7 @@
 from collections import OrderedDict
 from dataclasses import dataclass, field
 
-QUESTIONS = 64  # of one front, that an answer may still come to
+MAX_LEASE_REQUESTS = 64  # of one front, that an answer may still come to
 
 
 @dataclass(slots=True)
@@ -43,16 +43,16 @@
 
     def __init__(self, fronts: int, now: int, lease: int, drift: float = 0.01) -> None:
         self.fronts, self.lease, self.drift = fronts, lease, drift
-        self._silent_until = now + self._at_lender()
+        self._own_share_usable_at = now + self._lender_lease()
         self._lent: dict[int, tuple[int, int, int]] = {}  # group: until when, to whom, and its life
         self._lenders: dict[int, _Lender] = {}
         self._buckets: dict[int, _Bucket] = {}
         self.granted = self.fenced = 0
 
-    def _at_lender(self) -> int:
+    def _lender_lease(self) -> int:
         return round(self.lease * (1 + 2 * self.drift))
 
-    def _at_keeper(self) -> int:
+    def _borrower_lease(self) -> int:
         return round(self.lease * (1 - 2 * self.drift))
 
     # The lender
@@ -60,7 +60,7 @@
     def may_lend(self, now: int, group: int, keeper: int, life: int) -> bool:
         """Guards against a part that is lent to two: with another keeper, or lent by our life before, it
         stays until that lease is over. A keeper's later life has nothing of what the one before was lent."""
-        if now < self._silent_until:
+        if now < self._own_share_usable_at:
             return False
         until, to, theirs = self._lent.get(group, (now, keeper, life))
         return now >= until or (to == keeper and theirs <= life)
@@ -68,15 +68,15 @@
     def lend(self, now: int, groups: tuple[int, ...], keeper: int, life: int) -> None:
         """Our parts of these are a keeper's from now on: the word that says so goes out."""
         for group in groups:
-            self._lent[group] = now + self._at_lender(), keeper, life
+            self._lent[group] = now + self._lender_lease(), keeper, life
 
-    def own(self, now: int, group: int) -> bool:
+    def may_use_own(self, now: int, group: int) -> bool:
         """Whether our own part may be used: it is not lent, and cannot be by an earlier life of ours."""
-        return now >= self._silent_until and now >= self._lent.get(group, (now, 0, 0))[0]
+        return now >= self._own_share_usable_at and now >= self._lent.get(group, (now, 0, 0))[0]
 
     # The keeper
 
-    def question(self, now: int, front: int) -> int:
+    def lease_request(self, now: int, front: int) -> int:
         """The number to put to an answer to a front: its own word may lend its parts under it. 0: none."""
         lender = self._lenders.setdefault(front, _Lender())
         last = next(reversed(lender.asked.values()), None)
@@ -84,30 +84,30 @@
             return lender.number  # asked a moment ago: it counts from then
         lender.number = lender.number % 65535 + 1
         lender.asked[lender.number] = now
-        while len(lender.asked) > QUESTIONS:
+        while len(lender.asked) > MAX_LEASE_REQUESTS:
             lender.asked.popitem(last=False)
         return lender.number
 
-    def lent(self, now: int, front: int, ours: bool, number: int, groups: tuple[int, ...]) -> bool:
+    def accept_lease(self, now: int, front: int, ours: bool, number: int, groups: tuple[int, ...]) -> bool:
         """A front lends us its parts, in answer to a question; `ours`: of this life."""
         lender = self._lenders.get(front)
         asked = lender.asked.get(number) if lender is not None else None
         if not ours or lender is None or asked is None:
             self.fenced += 1
             return False
-        until = asked + self._at_keeper()
+        until = asked + self._borrower_lease()
         for group in groups:
             lender.until[group] = max(lender.until.get(group, 0), until)
         return until > now
 
-    def lent_by(self, now: int, group: int) -> set[int]:
+    def lenders_of(self, now: int, group: int) -> set[int]:
         """Whose parts of a group are lent to us now."""
         return {front for front, lender in self._lenders.items() if lender.until.get(group, 0) > now}
 
     def grant(self, now: int, group: int, budget: int, slot: float, burst: float) -> bool:
         """Whether one send of a budget may be granted now: the limit is one in each `slot` (us) of the whole
         fleet, of which the parts that are lent to us are ours, and so many may follow at once."""
-        parts = len(self.lent_by(now, group))
+        parts = len(self.lenders_of(now, group))
         bucket = self._buckets.get(budget)
         if bucket is None:
             if len(self._buckets) >= 4096:
@@ -123,7 +123,7 @@
         self.granted += 1
         return True
 
-    def stopped(self, now: int) -> None:
+    def reset_accrual(self, now: int) -> None:
         """Guards against a moment in which we stood still ourselves, and then grant what had gathered."""
         for bucket in self._buckets.values():
             bucket.at = now
--- a/ponddoor/fleet/shown.py
+++ b/ponddoor/fleet/shown.py
@@ -11,46 +11,46 @@
     now, presence = fleet.now, fleet.presence
     fronts = {
         str(front): {
-            "stands": presence.stands(front).value,
-            "life": presence.life_of(front),
-            "heard_ms_ago": _age(now, member.met),
-            "accused_by": sorted(member.by),
+            "stands": presence.state_of(front).value,
+            "life": presence.incarnation_of(front),
+            "heard_ms_ago": _age(now, member.heard_at),
+            "accused_by": sorted(member.accusers),
         }
         for front, member in presence.members.items()
     }
     groups = {
         str(group): {
-            "keepers": list(fleet.keepers(group)),
-            "whole": fleet.whole(group),
-            "lent_to_us": len(fleet.shares.lent_by(now, group)),
-            "own_part_free": fleet.shares.own(now, group),
+            "keepers": list(fleet.owners(group)),
+            "whole": fleet.is_synced(group),
+            "lent_to_us": len(fleet.shares.lenders_of(now, group)),
+            "own_part_free": fleet.shares.may_use_own(now, group),
         }
         for group in fleet.groups
     }
     rows: dict[str, Any] = {}
     for server in servers:
-        view = fleet.evidence.view(now, server, fleet.me)
-        bounds = fleet.counts.bounds(now, server, fleet.terms.timing.most)
+        view = fleet.evidence.summary(now, server, fleet.me)
+        bounds = fleet.counts.bounds(now, server, fleet.terms.timing.max_suspicion)
         rows[str(server)] = {
             "asked_by_others": {
                 "least": bounds.least,
                 "likely": bounds.likely,
                 "most": bounds.most,
-                "oldest_ms": bounds.since // 1000,
+                "oldest_ms": bounds.oldest_age // 1000,
             },
-            "against": view.against,
+            "against": view.witnesses_against,
             "failed": view.failed,
             "tries": view.tries,
             "failed_ms_ago": _age(now, view.failed_at),
-            "well_ms_ago": _age(now, view.well_at),
+            "well_ms_ago": _age(now, view.succeeded_at),
         }
     return {
         "me": fleet.me,
-        "life": presence.life,
-        "hears": presence.hears(now).value,
-        "reach": presence.reach(),
-        "live": presence.live(),
-        "quiet_keepers": sorted(fleet.quiet),
+        "life": presence.incarnation,
+        "hears": presence.connectivity(now).value,
+        "reach": presence.ack_ratio(),
+        "live": presence.live_count(),
+        "quiet_keepers": sorted(fleet.silent_owners),
         "fronts": fronts,
         "groups": groups,
         "servers": rows,
--- a/ponddoor/fleet/simulation.py
+++ b/ponddoor/fleet/simulation.py
@@ -15,8 +15,8 @@
 from random import Random
 from typing import Any
 
-from ponddoor.fleet.presence import Hears, Stands, Timing
-from ponddoor.fleet.view import EPOCH, Fleet, Terms
+from ponddoor.fleet.presence import Connectivity, FrontState, Timing
+from ponddoor.fleet.view import INCARNATION_EPOCH_US, Fleet, Terms
 from ponddoor.interface import actions as act
 from ponddoor.interface import facts as fx
 from ponddoor.interface import words
@@ -27,14 +27,14 @@
 PERIOD = SECOND // 2
 WAIT = SECOND // 12
 TERMS = Terms(
-    keepers=2,
-    few=2,
+    owners_per_group=2,
+    all_own_up_to=2,
     timing=Timing(PERIOD, WAIT, 4 * PERIOD, 8 * PERIOD),
-    evidence=8 * SECOND,
+    evidence_ttl=8 * SECOND,
     lease=4 * PERIOD,
-    known=0.6,
-    reach=0.4,
-    gives=2,
+    min_told_ratio=0.6,
+    min_ack_ratio=0.4,
+    bootstrap_replies_per_period=2,
 )
 SERVERS = range(1, 4)
 GROUPS = 2
@@ -78,7 +78,7 @@
     wall: int
     rogue: bool = False
     fleet: Fleet | None = None
-    life: int = 0
+    starts: int = 0
     paused_until: int = 0
     asks: dict[int, float] | None = None
     listening: list[tuple[Script, int | None]] | None = None
@@ -155,35 +155,35 @@
             (group,), (), fx.Ladder((1.0,), (1.0,), 0.0, 0.0, 1.0), fx.Plant(3, 2, 1.0, 1.0, (1,), 0.0, 0, 0),
             fx.Rules(SECOND, 0.4, 0, 1.0, SECOND, 0, 0, None, 0.0, 0),
             fx.Permissions(False, True, True, 1, True, 0, 0), fx.Prices(0.0, 0.0, 0.0, 0.0),
-            wall=EPOCH + node.wall - node.offset,
+            wall=INCARNATION_EPOCH_US + node.wall - node.offset,
         )  # fmt: skip
 
     def _start(self, node: Node) -> None:
         if node.fleet is not None:
             return
-        node.life += 1
+        node.starts += 1
         now = self.clock(node)
         fleet = node.fleet = self.make(self._facts(node), now, TERMS, GROUPS)
         node.asks = {}
         node.listening = []
-        self._play(node, fleet.talking(lambda server: None, lambda keeper: self._rates(node, keeper)))
-        life = node.life
+        self._play(node, fleet.gossip(lambda server: None, lambda keeper: self._rates(node, keeper)))
+        life = node.starts
         self.after(0, PERIOD, lambda: self._turn(node, life, 0))
 
     def _group(self, server: int) -> int:
         return server % GROUPS
 
-    def _rates(self, node: Node, keeper: int) -> list[words.Rate]:
+    def _rates(self, node: Node, keeper: int) -> list[words.ServerRate]:
         assert node.fleet is not None and node.asks is not None
         return [
-            words.Rate(server, kb)
+            words.ServerRate(server, kb)
             for server, kb in node.asks.items()
-            if kb and keeper in node.fleet.others(self._group(server))
+            if kb and keeper in node.fleet.other_owners(self._group(server))
         ]
 
     def _turn(self, node: Node, life: int, turn: int) -> None:
         """What a front does in each period: other rates, an end of a set-up, a part lent, a question."""
-        if node.fleet is None or node.life != life:
+        if node.fleet is None or node.starts != life:
             return
         if self.now >= node.paused_until:
             fleet, rng = node.fleet, self.rng
@@ -193,14 +193,16 @@
             if self.faults:
                 node.asks[server] = 4.0 * rng.randrange(0, 50)
                 bad = server == FAILING
-                seen = words.Ends(2, 0) if bad else words.Ends(0, 2)
-                rate = words.Rate(server, node.asks[server], ends=seen)
+                seen = words.SetupOutcomes(2, 0) if bad else words.SetupOutcomes(0, 2)
+                rate = words.ServerRate(server, node.asks[server], outcomes=seen)
                 if node.rogue:
-                    rate = replace(rate, kb=4.0 * rng.randrange(30_000), ends=words.Ends(15, 0))
-                    node.asks[server] = rate.kb
-                self._play(node, fleet.tell([(self._group(server), rate)]))
+                    rate = replace(
+                        rate, rate_kb=4.0 * rng.randrange(30_000), outcomes=words.SetupOutcomes(15, 0)
+                    )
+                    node.asks[server] = rate.rate_kb
+                self._play(node, fleet.send_changes([(self._group(server), rate)]))
             self._play(node, fleet.refresh(turn, 4, lambda keeper: self._rates(node, keeper)))
-            self._play(node, fleet.lend(range(GROUPS)))
+            self._play(node, fleet.lend_shares(range(GROUPS)))
             for server in (rng.choice([1, 3]), 2):  # of either group one
                 self._play(node, self._wants(node, server))
             if node.rogue and self.faults:
@@ -211,27 +213,32 @@
         """Within the format: all others are silent, all servers bad for everybody, a life that can't be."""
         assert node.fleet is not None
         to = self.rng.choice([n for n in range(self.plan.fronts) if n != node.number])
-        life = node.fleet.presence.life
+        life = node.fleet.presence.incarnation
         rows = tuple(
-            words.Row(n, self.rng.choice([1, 2**32 - 1, self._life(n)]), 255, node.number)
+            words.MemberRow(n, self.rng.choice([1, 2**32 - 1, self._life(n)]), 255, node.number)
             for n in range(self.plan.fronts)
             if n != node.number
         )
-        saw = tuple((server, words.Ends(15, 0)) for server in SERVERS)
-        for word in (words.Ping(1, life, 0, rows[: words.ROWS]), words.News(life, (), saw)):
+        saw = tuple((server, words.SetupOutcomes(15, 0)) for server in SERVERS)
+        for word in (
+            words.Ping(1, life, 0, rows[: words.MAX_MEMBER_ROWS]),
+            words.BootstrapReply(life, (), saw),
+        ):
             self._send(node, to, words.pack(word)[0])
 
     def _life(self, number: int) -> int:
         fleet = self.nodes[number].fleet
-        return fleet.presence.life if fleet is not None else 1
+        return fleet.presence.incarnation if fleet is not None else 1
 
     def _wants(self, node: Node, server: int) -> Script:
         """A send to a server out of a budget: our own part's, else a keeper's grant."""
         fleet, group = node.fleet, self._group(server)
         assert fleet is not None
-        if fleet.shares.own(fleet.now, group):
+        if fleet.shares.may_use_own(fleet.now, group):
             self.found.own += 1
-        yield from fleet.ask([group], lambda number: words.AskHolders(number, server, 1, 0), fleet.now + WAIT)
+        yield from fleet.query(
+            [group], lambda number: words.HoldersQuery(number, server, 1, 0), fleet.now + WAIT
+        )
 
     def _play(self, node: Node, script: Script, value: Any = None) -> None:
         assert node.listening is not None and node.fleet is not None
@@ -253,11 +260,11 @@
                     return
 
     def _later(self, node: Node, until: int) -> None:
-        life, left = node.life, max(until - self.clock(node), 0)
+        life, left = node.starts, max(until - self.clock(node), 0)
         self.at(self.now + round(left / node.rate) + 1, lambda: self._wake(node, life))
 
     def _wake(self, node: Node, life: int) -> None:
-        if node.fleet is None or node.life != life:
+        if node.fleet is None or node.starts != life:
             return
         if self.now < node.paused_until:
             self.at(node.paused_until, lambda: self._wake(node, life))
@@ -272,9 +279,9 @@
     def _send(self, node: Node, to: int, payload: bytes) -> None:
         self.found.messages += 1
         word = words.unpack(payload)
-        if isinstance(word, words.Telling):
-            told = self.told.setdefault((node.number, word.life), set())
-            told.update((rate.server, rate.kb) for rate in word.rates)
+        if isinstance(word, words.RateUpdate):
+            told = self.told.setdefault((node.number, word.incarnation), set())
+            told.update((rate.server, rate.rate_kb) for rate in word.rates)
         self.pass_on(node.number, to, self.links, lambda: self._arrive(node.number, to, payload))
 
     def _arrive(self, sender: int, to: int, payload: bytes) -> None:
@@ -286,17 +293,17 @@
             return
         fleet, word = node.fleet, words.unpack(payload)
         fleet.now = self.clock(node)
-        fleet.hear(sender, word)
+        fleet.receive(sender, word)
         match word:
-            case words.Answer():
-                fleet.answered(sender, word)
-            case words.AskHolders(number, server):
+            case words.QueryReply():
+                fleet.match_reply(sender, word)
+            case words.HoldersQuery(number, server):
                 group = self._group(server)
-                if to in fleet.keepers(group):
+                if to in fleet.owners(group):
                     granted = fleet.shares.grant(fleet.now, group, server, SLOT, BURST)
                     self.found.grants += granted
-                    room = fleet.room(sender, server, 0.0, fleet.counts.likely(server), False, granted)
-                    self._play(node, fleet.answer(sender, number, [room], False))
+                    room = fleet.status_for(sender, server, 0.0, fleet.counts.likely(server), False, granted)
+                    self._play(node, fleet.reply(sender, number, [room], False))
         assert node.listening is not None
         scripts, node.listening = node.listening, []
         for script, _ in scripts:
@@ -312,7 +319,7 @@
         if node.fleet is None or not self.faults:
             return
         node.fleet, node.asks, node.listening = None, None, None
-        node.life += 1
+        node.starts += 1
         self.found.crashes += 1
         if self.rng.random() < self.plan.walls:
             node.wall += self.rng.choice([-HOUR, HOUR])
@@ -349,11 +356,11 @@
     def _one_holder(self, owner: Node, group: int, up: list[Node]) -> None:
         assert owner.fleet is not None
         # A front that stands still uses nothing; what it would think on waking is by its clock of then
-        holders = [owner.number] if owner.fleet.shares.own(self.clock(owner), group) else []
+        holders = [owner.number] if owner.fleet.shares.may_use_own(self.clock(owner), group) else []
         for keeper in up:
             if keeper is owner or keeper.fleet is None:
                 continue
-            if owner.number in keeper.fleet.shares.lent_by(self.clock(keeper), group):
+            if owner.number in keeper.fleet.shares.lenders_of(self.clock(keeper), group):
                 holders.append(keeper.number)
         if len(holders) > 1:
             self.fail(f"front {owner.number}'s part of group {group} is with {holders}")
@@ -362,11 +369,11 @@
         assert node.fleet is not None
         for front, origin in node.fleet.counts.origins.items():
             for server, cell in origin.cells.items():
-                key, now = (node.number * 1000 + node.life, front, server), (origin.life, cell.stamp)
+                key, now = (node.number * 1000 + node.starts, front, server), (origin.incarnation, cell.stamp)
                 if now < self.newest.get(key, now):
                     self.fail(f"front {node.number} went back to an older word of front {front}")
                 self.newest[key] = now
-                if (server, cell.amount) not in self.told.get((front, origin.life), set()):
+                if (server, cell.amount) not in self.told.get((front, origin.incarnation), set()):
                     self.fail(f"front {node.number} holds what front {front} never told")
 
     def _judgements(self, node: Node) -> None:
@@ -375,8 +382,8 @@
         for server in SERVERS:
             if fleet is None or server == FAILING or node.rogue:
                 continue
-            view = fleet.evidence.view(fleet.now, server, node.number)
-            if view.bad(2):
+            view = fleet.evidence.summary(fleet.now, server, node.number)
+            if view.is_bad(2):
                 self.fail(f"front {node.number} condemns server {server} by {view}")
 
     def _settled(self) -> None:
@@ -388,20 +395,22 @@
         for node in self.nodes:
             fleet = node.fleet
             assert fleet is not None
-            wrong = [n for n in range(self.plan.fronts) if fleet.presence.stands(n) is not Stands.ALIVE]
+            wrong = [n for n in range(self.plan.fronts) if fleet.presence.state_of(n) is not FrontState.ALIVE]
             if wrong:
                 self.fail(f"front {node.number} takes {wrong} for gone after quiet")
-            if self.plan.fronts > 1 and fleet.presence.hears(fleet.now) is not Hears.WELL:
-                self.fail(f"front {node.number} hears {fleet.presence.hears(fleet.now).value} after quiet")
+            if self.plan.fronts > 1 and fleet.presence.connectivity(fleet.now) is not Connectivity.FULL:
+                self.fail(
+                    f"front {node.number} hears {fleet.presence.connectivity(fleet.now).value} after quiet"
+                )
         for group in range(GROUPS):
-            for keeper in {front for node in self.nodes if node.fleet for front in node.fleet.keepers(group)}:
+            for keeper in {front for node in self.nodes if node.fleet for front in node.fleet.owners(group)}:
                 self._sums(self.nodes[keeper], group)
         self._lent()
 
     def _sums(self, keeper: Node, group: int) -> None:
         fleet = keeper.fleet
         assert fleet is not None
-        if not fleet.whole(group):
+        if not fleet.is_synced(group):
             self.fail(f"keeper {keeper.number} of group {group} is not told all after quiet")
         for server in SERVERS:
             if self._group(server) != group:
@@ -414,11 +423,11 @@
     def _lent(self) -> None:
         """Nine in ten of the parts that a group's keepers do not hold themselves are lent to one of them."""
         for group in range(GROUPS):
-            keepers = self.nodes[0].fleet.keepers(group) if self.nodes[0].fleet else ()
+            keepers = self.nodes[0].fleet.owners(group) if self.nodes[0].fleet else ()
             lent: set[int] = set()
             for keeper in keepers:
                 fleet = self.nodes[keeper].fleet
-                lent |= fleet.shares.lent_by(fleet.now, group) if fleet is not None else set()
+                lent |= fleet.shares.lenders_of(fleet.now, group) if fleet is not None else set()
             self.found.lent += len(lent)
             others = self.plan.fronts - len(keepers)
             if len(lent - set(keepers)) < 0.9 * others and self.plan.drift <= 0.01:
--- a/ponddoor/front/acting.py
+++ b/ponddoor/front/acting.py
@@ -7,7 +7,7 @@
 import structlog
 
 from ponddoor.decide import Front
-from ponddoor.fleet.presence import Hears, Presence
+from ponddoor.fleet.presence import Connectivity, Presence
 from ponddoor.interface.events import ServerState
 
 MOST_LINES = 50  # of one look
@@ -18,12 +18,12 @@
 def looking(front: Front, now: int) -> Iterator[None]:
     """Guards against a look that changes what is decided: what reading moves is put back behind it."""
     fleet = front.fleet
-    kept = front.now, dict(fleet.whole_since), dict(fleet.looked), front.reckoned, front.usual_load
+    kept = front.now, dict(fleet.synced_since), dict(fleet.synced_cache), front.reckoned, front.usual_load
     front.clock(now)
     try:
         yield
     finally:
-        now, fleet.whole_since, fleet.looked, front.reckoned, front.usual_load = kept
+        now, fleet.synced_since, fleet.synced_cache, front.reckoned, front.usual_load = kept
         front.clock(now)
 
 
@@ -57,7 +57,7 @@
         """Who is taken for dead, or for alive again, since the last look."""
         if presence.version == self.version:
             return {}
-        self.version, before, self.dead = presence.version, self.dead, frozenset(presence.dead())
+        self.version, before, self.dead = presence.version, self.dead, frozenset(presence.dead_fronts())
         return {front: front in self.dead for front in sorted(self.dead ^ before)}
 
 
@@ -79,12 +79,12 @@
         self.now_acting = acting
 
     def _acting(self, front: Front, now: int) -> set[str]:
-        acting = {f"keeper-given-up {keeper}" for keeper in front.fleet.quiet}
-        if front.fleet.talks:
-            hears = front.fleet.presence.hears(now)
-            acting |= {f"hears-{hears.value}"} if hears is not Hears.WELL else set()
-            acting |= {f"keeps {group}" for group in front.fleet.groups if front.fleet.whole(group)}
-            acting |= {f"front-dead {one}" for one in front.fleet.presence.dead()}
+        acting = {f"keeper-given-up {keeper}" for keeper in front.fleet.silent_owners}
+        if front.fleet.gossip_enabled:
+            hears = front.fleet.presence.connectivity(now)
+            acting |= {f"hears-{hears.value}"} if hears is not Connectivity.FULL else set()
+            acting |= {f"keeps {group}" for group in front.fleet.groups if front.fleet.is_synced(group)}
+            acting |= {f"front-dead {one}" for one in front.fleet.presence.dead_fronts()}
         for number, server in front.servers.items():
             if server.row.state is ServerState.GONE:
                 continue
@@ -99,12 +99,12 @@
     def _say(self, front: Front, now: int, event: str, word: str) -> None:
         name, _, server = word.partition(" ")
         if name == "avoid":  # a judgement, with its evidence
-            view = front.fleet.evidence.view(now, int(server), front.facts.me)
+            view = front.fleet.evidence.summary(now, int(server), front.facts.me)
             log.info(
                 f"mechanism-{event}",
                 mechanism=name,
                 server=int(server),
-                against=view.against,
+                against=view.witnesses_against,
                 failed=view.failed,
                 tries=view.tries,
             )
--- a/ponddoor/front/process.py
+++ b/ponddoor/front/process.py
@@ -13,7 +13,7 @@
 import structlog
 
 from ponddoor.decide import Front
-from ponddoor.fleet.presence import Hears
+from ponddoor.fleet.presence import Connectivity
 from ponddoor.fleet.shown import shown
 from ponddoor.front import effects as fx
 from ponddoor.front.acting import Acting, Standings, looking
@@ -466,7 +466,7 @@
                 idle = {str(number): kb for number, kb in front.idles(rows, 1.0).items()}
                 rests = {str(s.row.server): float(front.rested_until(s) > now) for s in rows}
                 avoided = {str(s.row.server): float(front.condemned(s)) for s in rows}
-                fleet = list(self._fleet_samples(front, now)) if front.fleet.talks else []
+                fleet = list(self._fleet_samples(front, now)) if front.fleet.gossip_enabled else []
             yield from fleet
             yield "gauge", "avoided", "Whether a server is avoided by others' evidence.", "server", avoided
             yield (
@@ -492,7 +492,7 @@
     def _fleet_samples(self, front: Front, now: int) -> Iterator[Sample]:
         fleet, stands = front.fleet, dict[str, float]()
         for one in fleet.presence.members:
-            name = fleet.presence.stands(one).value
+            name = fleet.presence.state_of(one).value
             stands[name] = stands.get(name, 0) + 1
         yield "gauge", "fronts", "Other fronts, as this one takes them to stand.", "stands", stands
         yield (
@@ -500,28 +500,28 @@
             "fronts_reached",
             "Share of the last pings that were answered.",
             "",
-            {"": fleet.presence.reach()},
+            {"": fleet.presence.ack_ratio()},
         )
         yield (
             "gauge",
             "fleet_hears",
             "How this front hears the others: 1 at the one that holds.",
             "how",
-            {how.value: float(fleet.presence.hears(now) is how) for how in Hears},
+            {how.value: float(fleet.presence.connectivity(now) is how) for how in Connectivity},
         )
         yield (
             "gauge",
             "groups_whole",
             "Groups of servers of which all that is asked is known here.",
             "",
-            {"": sum(map(fleet.whole, fleet.groups))},
+            {"": sum(map(fleet.is_synced, fleet.groups))},
         )
         yield (
             "gauge",
             "parts_lent_here",
             "Parts of budgets lent to this front, by group.",
             "group",
-            {str(group): len(fleet.shares.lent_by(now, group)) for group in fleet.groups},
+            {str(group): len(fleet.shares.lenders_of(now, group)) for group in fleet.groups},
         )
         yield "counter", "grants", "Sends granted to other fronts.", "", {"": fleet.shares.granted}
         yield "counter", "lent_refused", "Parts refused: of an earlier life.", "", {"": fleet.shares.fenced}
--- a/ponddoor/interface/words.py
+++ b/ponddoor/interface/words.py
@@ -16,14 +16,14 @@
 _KB, _AGE, _SPAN, _NONE = 4.0, 20_000, 40_000, 255  # steps of rates and ages, no sample
 _WARM = 0x8000  # of the rate of the teller, or of the asker, or that a send is granted: the highest bit
 _NOBODY = 0xFFFF
-MESSAGE = 225
-RATES = (MESSAGE - 1 - _TELLING.size) // _RATE.size  # rows a message
-PLAIN_RATES = (MESSAGE - 1 - _TELLING.size) // _PLAIN.size
-ROOMS = (MESSAGE - 1 - _ANSWERED.size) // _ROOM.size
-BRIEF_ROOMS = (MESSAGE - 1 - _ANSWERED.size) // _BRIEF.size
-ROWS = 8  # of presence in a message
-GROUPS = 64
-NEWS = (MESSAGE - 1 - _COUNT.size - ROWS * _ROW.size) // _SAW.size
+MAX_DATAGRAM_BYTES = 225
+MAX_RATES = (MAX_DATAGRAM_BYTES - 1 - _TELLING.size) // _RATE.size  # rows a message
+MAX_PLAIN_RATES = (MAX_DATAGRAM_BYTES - 1 - _TELLING.size) // _PLAIN.size
+MAX_STATUSES = (MAX_DATAGRAM_BYTES - 1 - _ANSWERED.size) // _ROOM.size
+MAX_BRIEF_STATUSES = (MAX_DATAGRAM_BYTES - 1 - _ANSWERED.size) // _BRIEF.size
+MAX_MEMBER_ROWS = 8  # of presence in a message
+MAX_GROUPS = 64
+MAX_OBSERVATIONS = (MAX_DATAGRAM_BYTES - 1 - _COUNT.size - MAX_MEMBER_ROWS * _ROW.size) // _SAW.size
 
 
 class _Kind(IntEnum):
@@ -53,52 +53,52 @@
 class Sample:
     """What was reported or noted of a server, and how long ago."""
 
-    figure: float
+    value: float
     age: int
 
 
 @dataclass(frozen=True, slots=True)
-class Ends:
+class SetupOutcomes:
     """Set-ups at a server that failed and that went well lately, and how long ago the last of each did."""
 
     failed: int
-    well: int
+    succeeded: int
     failed_age: int = 0
-    well_age: int = 0
+    succeeded_age: int = 0
 
 
 @dataclass(frozen=True, slots=True)
-class Rate:
+class ServerRate:
     """What the teller asks of a server, with the load and the share delivered that came to it alone, whether
     it has a session there that began before the server could be cold, and how its set-ups there ended."""
 
     server: int
-    kb: float
+    rate_kb: float
     load: Sample | None = None
-    share: Sample | None = None
+    delivered: Sample | None = None
     warm: bool = False
-    ends: Ends | None = None
+    outcomes: SetupOutcomes | None = None
 
 
 @dataclass(frozen=True, slots=True)
-class Telling:
+class RateUpdate:
     """The teller's rates: all of them that the hearer keeps, or those that changed."""
 
-    life: int
+    incarnation: int
     stamp: int
-    rates: tuple[Rate, ...]
-    whole: bool
+    rates: tuple[ServerRate, ...]
+    full: bool
 
 
 @dataclass(frozen=True, slots=True)
-class AskOurs:
+class InUseQuery:
     """A question: how the servers stand where the asker has sessions."""
 
     number: int
 
 
 @dataclass(frozen=True, slots=True)
-class AskHolders:
+class HoldersQuery:
     """A question: how the best holders of a title stand."""
 
     number: int
@@ -108,56 +108,56 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Room:
+class ServerStatus:
     """How a server stands: its idle, what is asked of it, what of that is the asker's, whether a session
     plays there that began before the server could be cold, what others than the asker saw of it (`against`:
     so many), and whether the asker may send there now what needs a grant."""
 
     server: int
-    idle: float
-    asked: float
-    theirs: float
+    idle_kb: float
+    asked_kb: float
+    asker_kb: float
     warm: bool = False
-    against: int = 0
-    ends: Ends = Ends(0, 0)
+    witnesses_against: int = 0
+    outcomes: SetupOutcomes = SetupOutcomes(0, 0)
     granted: bool = False
 
 
 @dataclass(frozen=True, slots=True)
-class Answer:
+class QueryReply:
     """The answer to a question. `lend`: the number under which the asker may lend its parts."""
 
-    life: int
+    incarnation: int
     number: int
-    lend: int
-    rooms: tuple[Room, ...]
+    lease_request: int
+    statuses: tuple[ServerStatus, ...]
     brief: bool = False  # without what others saw: of where the asker plays
 
 
 @dataclass(frozen=True, slots=True)
-class Begun:
+class FullUpdateRequest:
     """The teller has begun, or begun to keep a group: it is to be told all."""
 
-    life: int
+    incarnation: int
 
 
 @dataclass(frozen=True, slots=True)
-class Lending:
+class ShareLease:
     """The teller lends its parts of these groups; `keeper` is the hearer's life as it put the question."""
 
-    life: int
-    keeper: int
+    incarnation: int
+    borrower_incarnation: int
     number: int
     groups: tuple[int, ...]
 
 
 @dataclass(frozen=True, slots=True)
-class Row:
+class MemberRow:
     """A front's life and bump, and who accuses it of silence."""
 
     front: int
-    life: int
-    bump: int
+    incarnation: int
+    refutations: int
     accuser: int | None
 
 
@@ -166,9 +166,9 @@
     """Are you there?"""
 
     number: int
-    life: int
-    bump: int
-    rows: tuple[Row, ...] = ()
+    incarnation: int
+    refutations: int
+    rows: tuple[MemberRow, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
@@ -176,97 +176,113 @@
     """`of` is there; or it did not answer the teller either."""
 
     number: int
-    life: int
-    bump: int
-    rows: tuple[Row, ...]
-    of: int
+    incarnation: int
+    refutations: int
+    rows: tuple[MemberRow, ...]
+    target: int
     missed: bool = False
 
 
 @dataclass(frozen=True, slots=True)
-class Via:
+class PingRequest:
     """Ping `target` for the teller."""
 
     number: int
-    life: int
-    bump: int
-    rows: tuple[Row, ...]
+    incarnation: int
+    refutations: int
+    rows: tuple[MemberRow, ...]
     target: int
 
 
 @dataclass(frozen=True, slots=True)
-class AskNews:
+class BootstrapRequest:
     """The teller has begun: what is known of fronts and servers?"""
 
-    life: int
+    incarnation: int
 
 
 @dataclass(frozen=True, slots=True)
-class News:
+class BootstrapReply:
     """What the teller knows: fronts in trouble, and what it saw of servers itself."""
 
-    life: int
-    rows: tuple[Row, ...]
-    saw: tuple[tuple[int, Ends], ...]
+    incarnation: int
+    rows: tuple[MemberRow, ...]
+    observations: tuple[tuple[int, SetupOutcomes], ...]
 
 
-Word = Telling | AskOurs | AskHolders | Answer | Begun | Lending | Ping | Ack | Via | AskNews | News
+Message = (
+    RateUpdate
+    | InUseQuery
+    | HoldersQuery
+    | QueryReply
+    | FullUpdateRequest
+    | ShareLease
+    | Ping
+    | Ack
+    | PingRequest
+    | BootstrapRequest
+    | BootstrapReply
+)
 
 
-def pack(word: Word) -> list[bytes]:
+def pack(word: Message) -> list[bytes]:
     """The messages that say a word."""
     match word:
-        case Telling(life, stamp, rates, whole):
+        case RateUpdate(life, stamp, rates, whole):
             rows = [
                 _RATE.pack(
-                    r.server, _flagged(r.kb, r.warm), *_sample(r.load), *_sample(r.share), *_ends(r.ends)
+                    r.server,
+                    _flagged(r.rate_kb, r.warm),
+                    *_sample(r.load),
+                    *_sample(r.delivered),
+                    *_ends(r.outcomes),
                 )
                 for r in rates
             ]
-            head, more = _TELLING.pack(life, stamp), any(r.load or r.share or r.ends for r in rates)
+            head, more = _TELLING.pack(life, stamp), any(r.load or r.delivered or r.outcomes for r in rates)
             if more and not whole:
-                return _split(_Kind.SAW, _Kind.SAW, head, rows, RATES)
+                return _split(_Kind.SAW, _Kind.SAW, head, rows, MAX_RATES)
             rows = [row[: _PLAIN.size] for row in rows]
-            return _split(_Kind.ALL if whole else _Kind.CHANGES, _Kind.CHANGES, head, rows, PLAIN_RATES)
-        case AskOurs(number):
+            return _split(_Kind.ALL if whole else _Kind.CHANGES, _Kind.CHANGES, head, rows, MAX_PLAIN_RATES)
+        case InUseQuery(number):
             return [bytes([_Kind.OURS]) + _OURS_ASKED.pack(number)]
-        case AskHolders(number, home, span, zone):
+        case HoldersQuery(number, home, span, zone):
             return [bytes([_Kind.HOLDERS]) + _QUESTION.pack(number, home, span, zone)]
-        case Answer(life, number, lend, rooms, brief):
+        case QueryReply(life, number, lend, rooms, brief):
             rows = [
                 _ROOM.pack(
                     r.server,
-                    _steps(r.idle, 32767, -32768),
-                    _flagged(r.asked, r.granted),
-                    _flagged(r.theirs, r.warm),
-                    min(r.against, 255),
-                    *_ends(r.ends),
+                    _steps(r.idle_kb, 32767, -32768),
+                    _flagged(r.asked_kb, r.granted),
+                    _flagged(r.asker_kb, r.warm),
+                    min(r.witnesses_against, 255),
+                    *_ends(r.outcomes),
                 )
                 for r in rooms
             ]
-            kind, most = _Kind.ANSWER, ROOMS
+            kind, most = _Kind.ANSWER, MAX_STATUSES
             if brief:
-                rows, kind, most = [row[: _BRIEF.size] for row in rows], _Kind.BRIEF, BRIEF_ROOMS
+                rows, kind, most = [row[: _BRIEF.size] for row in rows], _Kind.BRIEF, MAX_BRIEF_STATUSES
             return _split(kind, kind, _ANSWERED.pack(life, number, lend), rows, most)
-        case Begun(life):
+        case FullUpdateRequest(life):
             return [bytes([_Kind.BEGUN]) + _LIFE.pack(life)]
-        case Lending(life, keeper, number, groups):
+        case ShareLease(life, keeper, number, groups):
             lent = b"".join(map(_GROUP.pack, groups))
             return [bytes([_Kind.LENDING]) + _LENT.pack(life, keeper, number) + lent]
         case Ping(number, life, bump, told):
             return [bytes([_Kind.PING]) + _HEARD.pack(number, life, bump) + _rows(told)]
         case Ack(number, life, bump, told, of, missed):
             return [bytes([_Kind.ACK]) + _HEARD.pack(number, life, bump) + _OF.pack(of, missed) + _rows(told)]
-        case Via(number, life, bump, told, target):
+        case PingRequest(number, life, bump, told, target):
             return [bytes([_Kind.VIA]) + _HEARD.pack(number, life, bump) + _OF.pack(target, 0) + _rows(told)]
-        case AskNews(life):
+        case BootstrapRequest(life):
             return [bytes([_Kind.ASK_NEWS]) + _LIFE.pack(life)]
-        case News(life, told, saw):
+        case BootstrapReply(life, told, saw):
             seen = b"".join(_SAW.pack(server, *_ends(ends)) for server, ends in saw)
             return [bytes([_Kind.NEWS]) + _COUNT.pack(life, len(told)) + _rows(told) + seen]
 
 
-def unpack(payload: bytes) -> Word | None:
+def unpack(payload: bytes) -> Message | None:
     """What a message says; None if nothing."""
     kind, body = payload[0] if payload else -1, payload[1:]
     try:
@@ -280,27 +296,29 @@
     return _NAMES.get(payload[0], "other") if payload else "other"
 
 
-def _unpack(kind: int, body: bytes) -> Word | None:
+def _unpack(kind: int, body: bytes) -> Message | None:
     match kind:
         case _Kind.CHANGES | _Kind.ALL | _Kind.SAW:
             life, stamp = _TELLING.unpack_from(body)
             rows = _whole(_RATE if kind == _Kind.SAW else _PLAIN, body[_TELLING.size :])
             rates = tuple(_read_rate(*row) for row in rows)
-            return Telling(life, stamp, rates, kind == _Kind.ALL)
+            return RateUpdate(life, stamp, rates, kind == _Kind.ALL)
         case _Kind.OURS:
-            return AskOurs(*_OURS_ASKED.unpack_from(body))
+            return InUseQuery(*_OURS_ASKED.unpack_from(body))
         case _Kind.HOLDERS:
-            return AskHolders(*_QUESTION.unpack_from(body))
+            return HoldersQuery(*_QUESTION.unpack_from(body))
         case _Kind.ANSWER | _Kind.BRIEF:
             life, number, lend = _ANSWERED.unpack_from(body)
             brief, after = kind == _Kind.BRIEF, body[_ANSWERED.size :]
             rows = _whole(_BRIEF if brief else _ROOM, after)
-            return Answer(life, number, lend, tuple(_read_room(*row) for row in rows), brief)
+            return QueryReply(life, number, lend, tuple(_read_room(*row) for row in rows), brief)
         case _Kind.BEGUN:
-            return Begun(*_LIFE.unpack_from(body))
+            return FullUpdateRequest(*_LIFE.unpack_from(body))
         case _Kind.LENDING:
             life, keeper, number = _LENT.unpack_from(body)
-            return Lending(life, keeper, number, tuple(row[0] for row in _whole(_GROUP, body[_LENT.size :])))
+            return ShareLease(
+                life, keeper, number, tuple(row[0] for row in _whole(_GROUP, body[_LENT.size :]))
+            )
         case _Kind.PING:
             number, life, bump = _HEARD.unpack_from(body)
             return Ping(number, life, bump, _read_rows(body[_HEARD.size :]))
@@ -309,36 +327,36 @@
             of, missed = _OF.unpack_from(body, _HEARD.size)
             told = _read_rows(body[_HEARD.size + _OF.size :])
             if kind == _Kind.VIA:
-                return Via(number, life, bump, told, of)
+                return PingRequest(number, life, bump, told, of)
             return Ack(number, life, bump, told, of, missed > 0)
         case _Kind.ASK_NEWS:
-            return AskNews(*_LIFE.unpack_from(body))
+            return BootstrapRequest(*_LIFE.unpack_from(body))
         case _Kind.NEWS:
             life, count = _COUNT.unpack_from(body)
             after = _COUNT.size + count * _ROW.size
             seen = _whole(_SAW, body[after:])
-            saw = tuple((server, _read_ends(*ends) or Ends(0, 0)) for server, *ends in seen)
-            return News(life, _read_rows(body[_COUNT.size : after]), saw)
+            saw = tuple((server, _read_ends(*ends) or SetupOutcomes(0, 0)) for server, *ends in seen)
+            return BootstrapReply(life, _read_rows(body[_COUNT.size : after]), saw)
     return None
 
 
 def _read_rate(
     at: int, kb: int, load: int = _NONE, age: int = 0, share: int = _NONE, since: int = 0, *ends: int
-) -> Rate:
+) -> ServerRate:
     told = _read_ends(*ends) if ends else None
-    return Rate(at, (kb & ~_WARM) * _KB, _read(load, age), _read(share, since), kb >= _WARM, told)
+    return ServerRate(at, (kb & ~_WARM) * _KB, _read(load, age), _read(share, since), kb >= _WARM, told)
 
 
-def _read_room(at: int, idle: int, asked: int, theirs: int, against: int = 0, *ends: int) -> Room:
+def _read_room(at: int, idle: int, asked: int, theirs: int, against: int = 0, *ends: int) -> ServerStatus:
     told = _read_ends(*ends) if ends else None
-    return Room(
+    return ServerStatus(
         at,
         idle * _KB,
         (asked & ~_WARM) * _KB,
         (theirs & ~_WARM) * _KB,
         theirs >= _WARM,
         against,
-        told or Ends(0, 0),
+        told or SetupOutcomes(0, 0),
         asked >= _WARM,
     )
 
@@ -361,35 +379,36 @@
 
 
 def _sample(sample: Sample | None) -> tuple[int, int]:
-    return (min(round(sample.figure * 100), 254), min(sample.age // _AGE, 255)) if sample else (_NONE, _NONE)
+    return (min(round(sample.value * 100), 254), min(sample.age // _AGE, 255)) if sample else (_NONE, _NONE)
 
 
 def _read(figure: int, age: int) -> Sample | None:
     return None if figure == _NONE else Sample(figure / 100, age * _AGE)
 
 
-def _ends(ends: Ends | None) -> tuple[int, int, int]:
+def _ends(ends: SetupOutcomes | None) -> tuple[int, int, int]:
     """Tries in half a byte each, and both ages."""
-    if ends is None or not (ends.failed or ends.well):
+    if ends is None or not (ends.failed or ends.succeeded):
         return 0, 0, 0
-    counts = min(ends.failed, 15) << 4 | min(ends.well, 15)
-    return counts, min(ends.failed_age // _SPAN, 255), min(ends.well_age // _SPAN, 255)
+    counts = min(ends.failed, 15) << 4 | min(ends.succeeded, 15)
+    return counts, min(ends.failed_age // _SPAN, 255), min(ends.succeeded_age // _SPAN, 255)
 
 
-def _read_ends(counts: int, failed_age: int, well_age: int) -> Ends | None:
+def _read_ends(counts: int, failed_age: int, well_age: int) -> SetupOutcomes | None:
     if not counts:
         return None
-    return Ends(counts >> 4, counts & 15, failed_age * _SPAN, well_age * _SPAN)
+    return SetupOutcomes(counts >> 4, counts & 15, failed_age * _SPAN, well_age * _SPAN)
 
 
-def _rows(rows: tuple[Row, ...]) -> bytes:
+def _rows(rows: tuple[MemberRow, ...]) -> bytes:
     return b"".join(
-        _ROW.pack(r.front, r.life, r.bump, _NOBODY if r.accuser is None else r.accuser) for r in rows[:ROWS]
+        _ROW.pack(r.front, r.incarnation, r.refutations, _NOBODY if r.accuser is None else r.accuser)
+        for r in rows[:MAX_MEMBER_ROWS]
     )
 
 
-def _read_rows(body: bytes) -> tuple[Row, ...]:
+def _read_rows(body: bytes) -> tuple[MemberRow, ...]:
     return tuple(
-        Row(front, life, bump, None if accuser == _NOBODY else accuser)
-        for front, life, bump, accuser in _whole(_ROW, body)[:ROWS]
+        MemberRow(front, life, bump, None if accuser == _NOBODY else accuser)
+        for front, life, bump, accuser in _whole(_ROW, body)[:MAX_MEMBER_ROWS]
     )
--- a/ponddoor/rehearse/hollow_front.py
+++ b/ponddoor/rehearse/hollow_front.py
@@ -408,7 +408,7 @@
         return told | {
             "lost": life.words.lost,
             "refused": life.words.seal.refused,
-            "keeps": [group for group in fleet.groups if self.me in fleet.keepers(group)],
+            "keeps": [group for group in fleet.groups if self.me in fleet.owners(group)],
             "held": life.engine.held,
             "faults": life.engine.counts.faults,
             "decision_s": life.engine.counts.decision_ns / 1e9,
--- a/ponddoor/state.py
+++ b/ponddoor/state.py
@@ -4,7 +4,7 @@
 import math
 from dataclasses import dataclass, field
 
-from ponddoor.fleet.evidence import Seen
+from ponddoor.fleet.evidence import Observation
 from ponddoor.interface import events as ev
 from ponddoor.interface import words
 from ponddoor.interface.chance import LONG_AGO, Chance
@@ -154,33 +154,33 @@
             self.ours = total
         return self.ours
 
-    def take(self, asked: int, room: words.Room) -> None:
+    def take(self, asked: int, room: words.ServerStatus) -> None:
         """A keeper's word, in answer to a question of ours of that moment."""
-        self.told = (asked, room.idle + room.theirs, room.asked - room.theirs)
+        self.told = (asked, room.idle_kb + room.asker_kb, room.asked_kb - room.asker_kb)
         self.warm_at = asked if room.warm else LONG_AGO
         self.grant = asked if room.granted else self.grant
 
-    def seen(self, since: int) -> Seen:
+    def seen(self, since: int) -> Observation:
         """How our set-ups there ended since a moment."""
         failed = [at for at, well in self.ends if at > since and not well]
         went_well = [at for at, well in self.ends if at > since and well]
         last, last_well = max(failed, default=LONG_AGO), max(went_well, default=LONG_AGO)
-        return Seen(len(failed), len(went_well), last, last_well)
+        return Observation(len(failed), len(went_well), last, last_well)
 
     def old(self, since: int) -> bool:
         """Whether a session of ours there began before a moment, and was not lost since."""
         began = (s.began for s in self.sessions.values() if s.began is not None)
         return self.lost is None and any(at <= since for at in began)
 
-    def said_now(self, now: int, since: int, warm: bool) -> words.Rate:
+    def said_now(self, now: int, since: int, warm: bool) -> words.ServerRate:
         """Our rate there, and what came to us since we last said so: that is said once."""
         load, share = (words.Sample(s[1], now - s[0]) if s else None for s in (self.heard, self.felt))
         seen = self.seen(since)
-        failed_age, well_age = now - max(seen.failed_at, since), now - max(seen.well_at, since)
-        told = words.Ends(seen.failed, seen.well, failed_age, well_age) if self.ended else None
+        failed_age, well_age = now - max(seen.failed_at, since), now - max(seen.succeeded_at, since)
+        told = words.SetupOutcomes(seen.failed, seen.succeeded, failed_age, well_age) if self.ended else None
         self.said, self.said_warm = self.own(), warm
         self.heard, self.felt, self.ended = None, None, False
-        return words.Rate(self.row.server, self.said, load, share, warm, told)
+        return words.ServerRate(self.row.server, self.said, load, share, warm, told)
 
     def changed(self) -> None:
         """Its sessions or their rungs are others now: what they ask is summed anew."""
--- a/tests/capacity/test_measure.py
+++ b/tests/capacity/test_measure.py
@@ -34,12 +34,13 @@
 
 
 def test_kinds_are_those_of_the_words() -> None:
-    said: list[words.Word] = [
-        words.Telling(1, 1, (), False), words.Telling(1, 1, (), True), words.AskOurs(1),
-        words.AskHolders(1, 0, 1, 0), words.Answer(1, 1, 0, ()), words.Begun(1), words.Lending(1, 1, 1, ()),
-        words.Ping(1, 1, 0), words.Ack(1, 1, 0, (), 1), words.Via(1, 1, 0, (), 1), words.AskNews(1),
-        words.News(1, (), ()), words.Answer(1, 1, 0, (), True),
-        words.Telling(1, 1, (words.Rate(1, 4.0, words.Sample(1.0, 0)),), False),
+    said: list[words.Message] = [
+        words.RateUpdate(1, 1, (), False), words.RateUpdate(1, 1, (), True), words.InUseQuery(1),
+        words.HoldersQuery(1, 0, 1, 0), words.QueryReply(1, 1, 0, ()), words.FullUpdateRequest(1),
+        words.ShareLease(1, 1, 1, ()), words.Ping(1, 1, 0), words.Ack(1, 1, 0, (), 1),
+        words.PingRequest(1, 1, 0, (), 1), words.BootstrapRequest(1), words.BootstrapReply(1, (), ()),
+        words.QueryReply(1, 1, 0, (), True),
+        words.RateUpdate(1, 1, (words.ServerRate(1, 4.0, words.Sample(1.0, 0)),), False),
     ]  # fmt: skip
     assert [words.pack(word)[0][0] for word in said] == list(range(len(KINDS)))
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -160,24 +160,28 @@
         for peer, ack in acks:
             self.do(ev.PeerMessage(peer, words.pack(ack)[0]))
 
-    def tell(self, action: act.Tell, word: words.Word | None) -> None:
+    def tell(self, action: act.Tell, word: words.Message | None) -> None:
         match word:
-            case words.Telling(_, _, rates, whole):
+            case words.RateUpdate(_, _, rates, whole):
                 self.news.append(f"tells {action.peer} {'all' if whole else 'changes'}")
-                self.news += [f"tell {r.server} {r.kb:g}{' warm' if r.warm else ''}" for r in rates]
-                self.news += [f"saw {r.server} {r.ends.failed} {r.ends.well}" for r in rates if r.ends]
-            case words.Answer(_, _, _, rooms):
+                self.news += [f"tell {r.server} {r.rate_kb:g}{' warm' if r.warm else ''}" for r in rates]
+                self.news += [
+                    f"saw {r.server} {r.outcomes.failed} {r.outcomes.succeeded}" for r in rates if r.outcomes
+                ]
+            case words.QueryReply(_, _, _, rooms):
                 self.news.append(f"answers {action.peer}")
-                self.news += [f"answer {action.peer} {r.server} {r.idle:g} {r.asked:g}" for r in rooms]
+                self.news += [f"answer {action.peer} {r.server} {r.idle_kb:g} {r.asked_kb:g}" for r in rooms]
                 self.news += [f"warm {r.server}" for r in rooms if r.warm]
-                self.news += [f"against {r.server} {r.against}" for r in rooms if r.against]
+                self.news += [
+                    f"against {r.server} {r.witnesses_against}" for r in rooms if r.witnesses_against
+                ]
                 self.news += [f"grants {action.peer} {r.server}" for r in rooms if r.granted]
-            case words.AskHolders(number) | words.AskOurs(number):
+            case words.HoldersQuery(number) | words.InUseQuery(number):
                 self.asked[action.peer] = number
                 self.news.append(f"asks {action.peer} {type(word).__name__}")
             case words.Ping(number) if action.peer not in self.silent and action.peer is not None:
                 self.acks.append((action.peer, words.Ack(number, 1, 0, (), action.peer)))
-            case words.Lending(_, _, _, groups):
+            case words.ShareLease(_, _, _, groups):
                 self.news.append(f"lends {action.peer} {' '.join(map(str, groups))}")
             case _:
                 self.news.append(f"says {action.peer} {type(word).__name__}")
@@ -198,38 +202,38 @@
 
     def word(self, peer: int, plain: list[str], options: dict[str, Any]) -> bytes:
         """`all|changes SERVER KB ...`, `answer [SERVER IDLE ASKED]` to the last question to that front,
-        `ours`, `holders`, `begun`, `lends`, `raw HEX`; with `warm`, `granted`, `life=`, `against=`,
-        `failed=`, `well=` and their ages."""
+        `ours`, `holders`, `begun`, `lends`, `raw HEX`; with `warm`, `granted`, `incarnation=`, `against=`,
+        `failed=`, `succeeded=` and their ages."""
         flags = [text for text in plain if text in ("warm", "granted")]
         plain = [text for text in plain if text not in flags]
         kind, numbers = plain[0], [int(text) for text in plain[1:] if plain[0] != "raw"]
-        life, warm = options.get("life", 1), "warm" in flags
-        seen = [options.get(name, 0) for name in ("failed", "well", "failed_age", "well_age")]
-        ends = words.Ends(*seen) if seen[0] or seen[1] else None
-        word: words.Word = words.AskOurs(1)
+        life, warm = options.get("incarnation", 1), "warm" in flags
+        seen = [options.get(name, 0) for name in ("failed", "succeeded", "failed_age", "succeeded_age")]
+        ends = words.SetupOutcomes(*seen) if seen[0] or seen[1] else None
+        word: words.Message = words.InUseQuery(1)
         if kind == "raw":
             return bytes.fromhex("".join(plain[1:]))
         if kind in ("all", "changes"):
             self.stamps += 1
             pairs = zip(numbers[::2], numbers[1::2], strict=True)
-            rates = tuple(words.Rate(at, kb, warm=warm, ends=ends) for at, kb in pairs)
-            word = words.Telling(life, options.get("stamp", self.stamps), rates, kind == "all")
+            rates = tuple(words.ServerRate(at, kb, warm=warm, outcomes=ends) for at, kb in pairs)
+            word = words.RateUpdate(life, options.get("stamp", self.stamps), rates, kind == "all")
         elif kind == "answer":
-            told = ends or words.Ends(0, 0)
+            told = ends or words.SetupOutcomes(0, 0)
             at, idle, asked = numbers[:3] or (0, 0, 0)
             against = options.get("against", 0)
-            rooms = (words.Room(at, idle, asked, 0, warm, against, told, "granted" in flags),)
+            rooms = (words.ServerStatus(at, idle, asked, 0, warm, against, told, "granted" in flags),)
             lend = options.get("lend", 0)
-            word = words.Answer(life, self.asked.get(peer, 0), lend, rooms if numbers else ())
+            word = words.QueryReply(life, self.asked.get(peer, 0), lend, rooms if numbers else ())
         elif kind == "holders":
             home, span, zone = (
                 options.get(name, usual) for name, usual in (("home", 0), ("span", 8), ("zone", 0))
             )
-            word = words.AskHolders(1, home, span, zone)
+            word = words.HoldersQuery(1, home, span, zone)
         elif kind == "begun":
-            word = words.Begun(life)
+            word = words.FullUpdateRequest(life)
         elif kind == "lends":
-            word = words.Lending(life, options.get("keeper", 1), options["number"], (0,))
+            word = words.ShareLease(life, options.get("borrower", 1), options["number"], (0,))
         return words.pack(word)[0]
 
     def event(self, what: str, plain: list[str], options: dict[str, Any]) -> ev.Event | None:
--- a/tests/fleet/test_fleet.py
+++ b/tests/fleet/test_fleet.py
@@ -48,8 +48,8 @@
 Front.condemned = lambda self, server: False
 """
 SURE = """
-from ponddoor.fleet.presence import Hears, Presence
-Presence.hears = lambda self, now: Hears.WELL
+from ponddoor.fleet.presence import Connectivity, Presence
+Presence.connectivity = lambda self, now: Connectivity.FULL
 """
 ALL_AT_ONCE = """
 from ponddoor.node.servers import Servers
--- a/tests/front/test_world.py
+++ b/tests/front/test_world.py
@@ -500,10 +500,10 @@
 def test_a_look_at_the_metrics_changes_no_decision(in_world: Run) -> None:
     async def live(world: World) -> None:
         front: Any = world.fronts[0].decisions
-        before = (front.now, front.fleet.now, dict(front.fleet.looked), dict(front.fleet.whole_since))
+        before = (front.now, front.fleet.now, dict(front.fleet.synced_cache), dict(front.fleet.synced_since))
         world.fronts[0].acting.look(front, before[0] + 5_000_000)
         list(world.fronts[0]._samples())
-        assert (front.now, front.fleet.now, front.fleet.looked, front.fleet.whole_since) == before
+        assert (front.now, front.fleet.now, front.fleet.synced_cache, front.fleet.synced_since) == before
 
     in_world(live)
 
--- a/tests/many_servers/drawn_day.py
+++ b/tests/many_servers/drawn_day.py
@@ -50,14 +50,16 @@
 
     def answer(self, told: act.Tell) -> None:
         match words.unpack(told.payload):
-            case words.AskHolders(number) if told.peer is not None and self.rng.random() < 0.5:
+            case words.HoldersQuery(number) if told.peer is not None and self.rng.random() < 0.5:
                 server = self.rng.randrange(1, self.newest + 1)
-                room = words.Room(server, 400.0, 300.0, 0, self.rng.random() < 0.5, 0, words.Ends(0, 0), True)
-                self.word(told.peer, words.Answer(1, number, 0, (room,)))
+                room = words.ServerStatus(
+                    server, 400.0, 300.0, 0, self.rng.random() < 0.5, 0, words.SetupOutcomes(0, 0), True
+                )
+                self.word(told.peer, words.QueryReply(1, number, 0, (room,)))
             case words.Ping(number) if told.peer is not None:
                 self.word(told.peer, words.Ack(number, 1, 0, (), told.peer))
 
-    def word(self, peer: int, word: words.Word) -> None:
+    def word(self, peer: int, word: words.Message) -> None:
         if peer != self.driven.site.me:
             self.take(self.driven.do(ev.PeerMessage(peer, words.pack(word)[0])))
 
@@ -133,7 +135,7 @@
         self.stamp += 1
         peer = self.rng.choice([p for p in range(PEERS) if p != self.driven.site.me])
         rates = tuple(
-            words.Rate(
+            words.ServerRate(
                 self.rng.randrange(1, self.newest + 1),
                 float(self.rng.randrange(2000)),
                 words.Sample(0.5, 100_000),
@@ -141,4 +143,4 @@
             )
             for _ in range(4)
         )
-        self.word(peer, words.Telling(1, self.stamp, rates, self.rng.random() < 0.3))
+        self.word(peer, words.RateUpdate(1, self.stamp, rates, self.rng.random() < 0.3))
--- a/tests/sharing/test_sharing.py
+++ b/tests/sharing/test_sharing.py
@@ -9,10 +9,10 @@
 from hypothesis import strategies as st
 
 from ponddoor.fleet.counts import Counts
-from ponddoor.fleet.evidence import Evidence, Seen
+from ponddoor.fleet.evidence import Evidence, Observation
 from ponddoor.fleet.explore import explore_all
 from ponddoor.fleet.mutants import MUTANTS, WIDE, Endless, Greedy, Hasty, Unfenced, drifting
-from ponddoor.fleet.presence import Hears, Presence, Stands, Timing
+from ponddoor.fleet.presence import Connectivity, FrontState, Presence, Timing
 from ponddoor.fleet.shares import Shares
 from ponddoor.fleet.shown import differences, shown
 from ponddoor.fleet.simulation import Schedule, Simulation, drawn, explore, shrunk
@@ -42,17 +42,17 @@
             self.now += 10_000
             for me, one in enumerate(self.each):
                 if me not in self.stopped and one.next_due <= self.now:
-                    self.say(me, one.due(self.now))
+                    self.say(me, one.poll(self.now))
 
-    def say(self, me: int, out: list[tuple[int, words.Word]]) -> None:
+    def say(self, me: int, out: list[tuple[int, words.Message]]) -> None:
         for to, word in out:
             self.sent += 1
             if to not in self.deaf and to not in self.stopped:
-                self.say(to, self.each[to].heard(self.now, me, word))
+                self.say(to, self.each[to].receive(self.now, me, word))
 
-    def stands(self, front: int) -> set[Stands]:
+    def stands(self, front: int) -> set[FrontState]:
         others = [one for me, one in enumerate(self.each) if me != front and me not in self.stopped]
-        return {one.stands(front) for one in others}
+        return {one.state_of(front) for one in others}
 
 
 def test_a_front_that_stops_for_two_seconds_is_not_dead_and_one_that_dies_is() -> None:
@@ -60,16 +60,16 @@
     ring.run(10)
     ring.stopped = {3}
     ring.run(3)
-    assert Stands.SUSPECT in ring.stands(3) and Stands.DEAD not in ring.stands(3)
+    assert FrontState.SUSPECT in ring.stands(3) and FrontState.DEAD not in ring.stands(3)
     ring.stopped = set()
     ring.run(10)
-    assert ring.stands(3) == {Stands.ALIVE} and ring.each[3].refuted >= 1
+    assert ring.stands(3) == {FrontState.ALIVE} and ring.each[3].refuted >= 1
     ring.stopped = {3}
     ring.run(30)
-    assert ring.stands(3) == {Stands.DEAD} and ring.each[0].live() == 5
+    assert ring.stands(3) == {FrontState.DEAD} and ring.each[0].live_count() == 5
     ring.stopped = set()
     ring.run(60)
-    assert ring.stands(3) == {Stands.ALIVE}
+    assert ring.stands(3) == {FrontState.ALIVE}
 
 
 def test_who_hears_nothing_knows_it_and_buries_nobody() -> None:
@@ -78,11 +78,13 @@
     ring.deaf = {2}
     ring.run(30)
     deaf = ring.each[2]
-    assert deaf.hears(ring.now) is Hears.NOTHING and deaf.live() == 6
-    assert all(one.hears(ring.now) is not Hears.NOTHING for me, one in enumerate(ring.each) if me != 2)
+    assert deaf.connectivity(ring.now) is Connectivity.NONE and deaf.live_count() == 6
+    assert all(
+        one.connectivity(ring.now) is not Connectivity.NONE for me, one in enumerate(ring.each) if me != 2
+    )
     ring.deaf = set()
     ring.run(60)
-    assert deaf.hears(ring.now) is Hears.WELL and ring.stands(2) == {Stands.ALIVE}
+    assert deaf.connectivity(ring.now) is Connectivity.FULL and ring.stands(2) == {FrontState.ALIVE}
 
 
 def test_words_a_front_do_not_grow_with_the_fleet() -> None:
@@ -98,11 +100,13 @@
     ring = Ring(5)
     ring.run(5)
     for _ in range(30):
-        rows = tuple(words.Row(n, ring.each[n].life, ring.each[n].bump, 4) for n in range(4))
+        rows = tuple(
+            words.MemberRow(n, ring.each[n].incarnation, ring.each[n].refutations, 4) for n in range(4)
+        )
         for to in range(4):
-            ring.say(to, ring.each[to].heard(ring.now, 4, words.Ping(1, 100, 0, rows)))
+            ring.say(to, ring.each[to].receive(ring.now, 4, words.Ping(1, 100, 0, rows)))
         ring.run(2)
-    assert all(ring.stands(n) <= {Stands.ALIVE, Stands.SUSPECT} for n in range(4))
+    assert all(ring.stands(n) <= {FrontState.ALIVE, FrontState.SUSPECT} for n in range(4))
 
 
 # Counts
@@ -128,7 +132,7 @@
 def heard(said: Told) -> Counts:
     counts = Counts()
     for front, life, stamp, whole, rows in said:
-        counts.tell(0, front, life, stamp, whole, rows)
+        counts.update(0, front, life, stamp, whole, rows)
     return counts
 
 
@@ -140,7 +144,7 @@
 def joined(*all_of: Counts) -> Any:
     counts = Counts()
     for one in all_of:
-        counts.join(0, one.state())
+        counts.merge(0, one.state())
     return plain(counts)
 
 
@@ -152,7 +156,7 @@
     ab, bc = Counts(), Counts()
     for counts, parts in ((ab, (a, b)), (bc, (b, c))):
         for part in parts:
-            counts.join(0, part.state())
+            counts.merge(0, part.state())
     assert joined(ab, c) == joined(a, bc)
     assert joined(a, a, b, a) == joined(a, b)
 
@@ -170,15 +174,15 @@
 
 def test_a_dead_fronts_part_stays_possible_until_its_end_is_known() -> None:
     counts = Counts()
-    counts.tell(0, 1, 5, 1, True, [(7, 100.0, False)])
-    counts.tell(SECOND, 2, 5, 1, True, [(7, 40.0, False)])
-    counts.doubt(1, True)
+    counts.update(0, 1, 5, 1, True, [(7, 100.0, False)])
+    counts.update(SECOND, 2, 5, 1, True, [(7, 40.0, False)])
+    counts.set_doubted(1, True)
     bounds = counts.bounds(2 * SECOND, 7, SECOND * 3 // 2)
-    assert (bounds.least, bounds.likely, bounds.most, bounds.since) == (40.0, 40.0, 140.0, 2 * SECOND)
+    assert (bounds.least, bounds.likely, bounds.most, bounds.oldest_age) == (40.0, 40.0, 140.0, 2 * SECOND)
     assert counts.bounds(9 * SECOND, 7, SECOND).least == 0.0
-    counts.tell(3 * SECOND, 1, 6, 1, True, [])  # a new life: what it held is not its own any more
+    counts.update(3 * SECOND, 1, 6, 1, True, [])  # a new life: what it held is not its own any more
     assert counts.bounds(3 * SECOND, 7, SECOND * 9).most == 40.0
-    counts.end_key(7)
+    counts.clear_key(7)
     assert counts.bounds(3 * SECOND, 7, SECOND * 9).most == 0.0
 
 
@@ -188,14 +192,14 @@
 def test_a_witness_is_one_voice_and_evidence_dies() -> None:
     held = Evidence(8 * SECOND)
     for stamp in range(1, 6):
-        held.tell(0, 1, 1, stamp, 7, Seen(failed=stamp, failed_at=0))
-    assert held.view(0, 7).against == 1 and not held.view(0, 7).bad(2)
-    held.tell(0, 2, 1, 1, 7, Seen(failed=1, failed_at=0))
-    assert held.view(0, 7).bad(2) and not held.view(0, 7, without=2).bad(2)
-    assert not held.view(0, 7).bad(2, own=1)  # what went well for us since goes first
-    held.tell(SECOND, 3, 1, 1, 7, Seen(well=1, well_at=SECOND))
-    assert not held.view(SECOND, 7).bad(2)
-    assert held.view(9 * SECOND + 1, 7).tries == 0
+        held.record(0, 1, 1, stamp, 7, Observation(failed=stamp, failed_at=0))
+    assert held.summary(0, 7).witnesses_against == 1 and not held.summary(0, 7).is_bad(2)
+    held.record(0, 2, 1, 1, 7, Observation(failed=1, failed_at=0))
+    assert held.summary(0, 7).is_bad(2) and not held.summary(0, 7, without=2).is_bad(2)
+    assert not held.summary(0, 7).is_bad(2, own=1)  # what went well for us since goes first
+    held.record(SECOND, 3, 1, 1, 7, Observation(succeeded=1, succeeded_at=SECOND))
+    assert not held.summary(SECOND, 7).is_bad(2)
+    assert held.summary(9 * SECOND + 1, 7).tries == 0
 
 
 # Shares
@@ -214,8 +218,8 @@
 def test_a_keeper_grants_what_is_lent_and_no_more() -> None:
     keeper, now, granted = Shares(10, 0, 4 * SECOND), 10 * SECOND, 0
     for front in range(5):  # half of ten parts
-        number = keeper.question(now, front)
-        assert keeper.lent(now, front, True, number, (0,))
+        number = keeper.lease_request(now, front)
+        assert keeper.accept_lease(now, front, True, number, (0,))
     for _ in range(300):
         now += 10_000
         granted += keeper.grant(now, 0, 7, 100_000, 2.0)
@@ -259,33 +263,38 @@
 
 # Words
 
-ENDS = st.builds(words.Ends, st.integers(1, 15), st.integers(0, 15))
+ENDS = st.builds(words.SetupOutcomes, st.integers(1, 15), st.integers(0, 15))
 ROW = st.builds(
-    words.Row,
+    words.MemberRow,
     st.integers(0, 300),
     st.integers(0, 2**32 - 1),
     st.integers(0, 255),
     st.none() | st.integers(0, 300),
 )
-ROWS = st.lists(ROW, max_size=words.ROWS).map(tuple)
+ROWS = st.lists(ROW, max_size=words.MAX_MEMBER_ROWS).map(tuple)
 LIFE, NUMBER = st.integers(1, 2**32 - 1), st.integers(0, 65535)
 WORDS = st.one_of(
     st.builds(words.Ping, NUMBER, LIFE, st.integers(0, 255), ROWS),
     st.builds(words.Ack, NUMBER, LIFE, st.integers(0, 255), ROWS, NUMBER, st.booleans()),
-    st.builds(words.Via, NUMBER, LIFE, st.integers(0, 255), ROWS, NUMBER),
-    st.builds(words.Begun, LIFE),
-    st.builds(words.AskNews, LIFE),
-    st.builds(words.Lending, LIFE, LIFE, NUMBER, st.lists(NUMBER, max_size=words.GROUPS).map(tuple)),
-    st.builds(words.News, LIFE, ROWS, st.lists(st.tuples(LIFE, ENDS), max_size=words.NEWS).map(tuple)),
-    st.builds(words.AskHolders, NUMBER, NUMBER, NUMBER, st.integers(0, 9)),
+    st.builds(words.PingRequest, NUMBER, LIFE, st.integers(0, 255), ROWS, NUMBER),
+    st.builds(words.FullUpdateRequest, LIFE),
+    st.builds(words.BootstrapRequest, LIFE),
+    st.builds(words.ShareLease, LIFE, LIFE, NUMBER, st.lists(NUMBER, max_size=words.MAX_GROUPS).map(tuple)),
+    st.builds(
+        words.BootstrapReply,
+        LIFE,
+        ROWS,
+        st.lists(st.tuples(LIFE, ENDS), max_size=words.MAX_OBSERVATIONS).map(tuple),
+    ),
+    st.builds(words.HoldersQuery, NUMBER, NUMBER, NUMBER, st.integers(0, 9)),
 )
 
 
 @settings(max_examples=400, deadline=None)
 @given(WORDS)
-def test_every_word_comes_back_from_its_bytes(word: words.Word) -> None:
+def test_every_word_comes_back_from_its_bytes(word: words.Message) -> None:
     (message,) = words.pack(word)
-    assert len(message) <= words.MESSAGE and words.unpack(message) == word
+    assert len(message) <= words.MAX_DATAGRAM_BYTES and words.unpack(message) == word
 
 
 @settings(max_examples=400, deadline=None)
@@ -297,13 +306,13 @@
 @settings(max_examples=200, deadline=None)
 @given(st.lists(st.tuples(st.integers(0, 2**32 - 1), st.integers(0, 2000)), max_size=60), st.booleans())
 def test_long_words_are_split_and_none_is_too_long(rows: list[tuple[int, int]], whole: bool) -> None:
-    rates = tuple(words.Rate(at, 4.0 * steps) for at, steps in rows)
-    messages = words.pack(words.Telling(3, 4, rates, whole))
-    assert max(map(len, messages)) <= words.MESSAGE
-    got: list[words.Rate] = []
+    rates = tuple(words.ServerRate(at, 4.0 * steps) for at, steps in rows)
+    messages = words.pack(words.RateUpdate(3, 4, rates, whole))
+    assert max(map(len, messages)) <= words.MAX_DATAGRAM_BYTES
+    got: list[words.ServerRate] = []
     for message in messages:
         word = words.unpack(message)
-        assert isinstance(word, words.Telling) and (word.life, word.stamp) == (3, 4)
+        assert isinstance(word, words.RateUpdate) and (word.incarnation, word.stamp) == (3, 4)
         got += word.rates
     assert tuple(got) == rates
 
@@ -313,8 +322,8 @@
     one, two = (Fleet(_site(me), 0, terms, 2) for me in (0, 1))
     views = [shown(fleet, [7]) for fleet in (one, two)]
     assert differences(*views) == []
-    one.evidence.tell(0, 3, 1, 1, 7, Seen(failed=2, failed_at=0))
-    one.presence._take(0, words.Row(4, 0, 0, 2))
+    one.evidence.record(0, 3, 1, 1, 7, Observation(failed=2, failed_at=0))
+    one.presence._merge_row(0, words.MemberRow(4, 0, 0, 2))
     found = differences(shown(one, [7]), shown(two, [7]))
     assert any(line.startswith("server 7: 1") for line in found)
     assert any(line.startswith("front 4: suspect") for line in found)
