--- a/tests/node/conftest.py
+++ b/tests/node/conftest.py
@@ -21,7 +21,7 @@
 from ponddoor.node import server_link as node_server_link
 from ponddoor.node import viewers as node_viewers
 from ponddoor.node.process import Node
-from ponddoor.node.start import read
+from ponddoor.node.start import read_settings
 from ponddoor.obligations import drain, lease
 from ponddoor.rehearse.run import free_ports
 from ponddoor.web.timing import within
@@ -30,13 +30,13 @@
 PATIENCE = 5.0
 SOON = 50_000  # us
 TIMES = {
-    "silence": (node_board, "SILENCE"),
+    "silence": (node_board, "SILENCE_TIMEOUT_S"),
     "gone": (lease, "SILENT_LIMIT"),
     "quiet": (lease, "SIGN_OF_LIFE_AFTER"),
-    "taken": (node_server_link, "ADDRESS_REUSED_AFTER"),
+    "taken": (node_server_link, "ADDRESS_REUSE_TIMEOUT_US"),
     "silent": (node_viewers, "SILENT_LIMIT"),
     "half": (node_viewers, "PARTIAL_MESSAGE_LIMIT"),
-    "half_a_line": (node_server_link, "PARTIAL_LINE_LIMIT"),
+    "half_a_line": (node_server_link, "PARTIAL_LINE_TIMEOUT_US"),
     "last": (drain, "FORWARD_FOR"),
     "look": (node_process, "LOOK"),
     "spare": (node_process, "SPARE_DESCRIPTORS"),
@@ -190,7 +190,7 @@
             await self.box(number)
         await self.board("b")
         self.write_file("b")
-        self.node = Node(read(self.path))
+        self.node = Node(read_settings(self.path))
         self.task = asyncio.create_task(self.node.run(self.path))
         self.started = True
         while not self.node.viewers.ready:
