--- a/ponddoor/simhost/codec.py
+++ b/ponddoor/simhost/codec.py
@@ -80,7 +80,7 @@
         self._report_fields: dict[int, tuple[str, ...]] = {}
 
     def batch(self, body: bytes, count: int) -> Iterator[tuple[int, Boot | Killed | ev.Event]]:
-        """Yields each event with the number of its instance, in order. The time of all is in the batch header.
+        """Yields each event with the number of its instance, in order. Their time is in the batch header.
 
         Raises MalformedError."""
         offset, front = 0, None
