--- a/ponddoor/node/__init__.py
+++ b/ponddoor/node/__init__.py
@@ -1,1 +1,1 @@
-"""The program on the operators' platform: its messages as another way in and out of the same engine."""
+"""The program of a node on the operators' platform: the platform's protocols around the engine."""
--- a/ponddoor/node/__main__.py
+++ b/ponddoor/node/__main__.py
@@ -7,17 +7,19 @@
 
 from ponddoor.node.early import EarlySignal
 
-_EARLY: list[EarlySignal] = []
+_EARLY_SIGNALS: list[EarlySignal] = []
 
 
 def main() -> int:
-    """Serve; 2 if what the node was told can't be used, 1 if an address can't be had."""
-    # Before anything slow: a signal must not end the start
+    """Run a node. Returns its exit status: 2 for unusable settings, 1 if an address cannot be bound."""
+    # Before the slow imports: a signal must not kill the process while it starts
     for number in (signal.SIGHUP, signal.SIGTERM, signal.SIGINT):
-        signal.signal(number, lambda got, _: _EARLY.append(EarlySignal(got, time.monotonic_ns())))
+        signal.signal(
+            number, lambda received, _: _EARLY_SIGNALS.append(EarlySignal(received, time.monotonic_ns()))
+        )
     from ponddoor.node.serving import serve
 
-    return serve(os.environ, _EARLY)
+    return serve(os.environ, _EARLY_SIGNALS)
 
 
 if __name__ == "__main__":
--- a/ponddoor/node/early.py
+++ b/ponddoor/node/early.py
@@ -1,10 +1,10 @@
-"""Signals that come before a node's event loop has its handlers."""
+"""Signals that arrive before a node's event loop has installed its signal handlers."""
 
 from typing import NamedTuple
 
 
 class EarlySignal(NamedTuple):
-    """The signal's number, and when it came (nanoseconds of the monotonic clock)."""
+    """A signal's number and the time of its arrival, in nanoseconds of the monotonic clock."""
 
     number: int
     received_at_ns: int
--- a/ponddoor/node/listener.py
+++ b/ponddoor/node/listener.py
@@ -1,4 +1,4 @@
-"""Accepts connections a few at a time, and all that have come before it closes."""
+"""Accepts connections in small batches. Before it closes it accepts those that are still in the backlog."""
 
 import asyncio
 import contextlib
@@ -7,48 +7,50 @@
 
 import structlog
 
-AT_ONCE = 4  # accepted in a turn of the loop, so that a crowd finds room made before it fills the descriptors
-BACKLOG = 1024  # connections that the machine may hold until then
-RETRY_S = 0.1  # after the machine gave no connection
+# Connections accepted in one turn of the event loop. Small, so that in a burst idle connections are evicted
+# before the burst uses up the descriptors
+ACCEPT_BATCH_SIZE = 4
+LISTEN_BACKLOG = 1024
+ACCEPT_RETRY_DELAY_S = 0.1  # after accept failed
 log = structlog.get_logger("listener")
 
 
 class Listener:
-    """Listens on one address and gives each connection a protocol of its own."""
+    """Listens on one address and connects each accepted socket to a new protocol instance."""
 
-    def __init__(self, make: Callable[[], asyncio.Protocol]) -> None:
-        self._make = make
+    def __init__(self, protocol_factory: Callable[[], asyncio.Protocol]) -> None:
+        self._protocol_factory = protocol_factory
         self._socket: socket.socket | None = None
         self._opening: set[asyncio.Task[None]] = set()
 
     def start(self, host: str, port: int) -> None:
-        """Listen. Raises OSError where the address can't be had."""
-        self._socket = socket.create_server((host, port), backlog=BACKLOG)
+        """Listen. Raises OSError if the address cannot be bound."""
+        self._socket = socket.create_server((host, port), backlog=LISTEN_BACKLOG)
         self._socket.setblocking(False)
         self._resume()
 
     def _resume(self) -> None:
         if self._socket is not None:
-            asyncio.get_running_loop().add_reader(self._socket, self._accept_some)
+            asyncio.get_running_loop().add_reader(self._socket, self._accept_batch)
 
-    def _accept_some(self) -> None:
-        for _ in range(AT_ONCE):
+    def _accept_batch(self) -> None:
+        for _ in range(ACCEPT_BATCH_SIZE):
             if not self._accept():
                 return
 
     def _accept(self) -> bool:
-        """Whether a connection was there and was taken."""
+        """Accept one connection. Returns whether one was waiting and could be accepted."""
         if self._socket is None:
             return False
         try:
             accepted, _ = self._socket.accept()
         except (BlockingIOError, InterruptedError, ConnectionAbortedError):
             return False
-        except OSError as problem:  # no descriptor is left, or the network is down: neither is for good
+        except OSError as problem:  # no descriptor left, or the network is down: both may pass
             log.warning("not-accepted", why=str(problem))
             loop = asyncio.get_running_loop()
             loop.remove_reader(self._socket)
-            loop.call_later(RETRY_S, self._resume)
+            loop.call_later(ACCEPT_RETRY_DELAY_S, self._resume)
             return False
         task = asyncio.get_running_loop().create_task(self._open(accepted))
         self._opening.add(task)
@@ -59,20 +61,20 @@
         accepted.setblocking(False)
         with contextlib.suppress(OSError):
             accepted.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            await asyncio.get_running_loop().connect_accepted_socket(self._make, accepted)
+            await asyncio.get_running_loop().connect_accepted_socket(self._protocol_factory, accepted)
 
     async def close(self, until: float) -> None:
-        """Take all that have connected by now, then listen no more, `until` at the latest (loop's clock).
+        """Accept all connections in the backlog, then stop listening, by `until` (loop time) at the latest.
 
-        A connection that waits to be accepted is reset by the close of its listener, and what was sent on it
-        is lost. Between the last look and the close a connection may still come up; it is microseconds."""
+        Closing a listener resets the connections in its backlog and loses data sent on them. This can still
+        happen to a connection that comes up in the microseconds between the last accept and the close."""
         loop = asyncio.get_running_loop()
         if self._socket is None:
             return
         loop.remove_reader(self._socket)
         while loop.time() < until:
-            taken = [self._accept() for _ in range(AT_ONCE)]
-            if not any(taken):
+            accepted = [self._accept() for _ in range(ACCEPT_BATCH_SIZE)]
+            if not any(accepted):
                 break
             await asyncio.sleep(0)
         loop.remove_reader(self._socket)
--- a/ponddoor/node/process.py
+++ b/ponddoor/node/process.py
@@ -1,4 +1,4 @@
-"""One node: the engine, its shells on the platform's messages, the clock, and the signals."""
+"""One node: the engine, its connections to viewers, servers, peers and discovery, its clock and signals."""
 
 import asyncio
 import contextlib
@@ -31,31 +31,35 @@
 from ponddoor.settings.limits import Limits
 from ponddoor.web.timing import within
 
-LOOK = SECOND // 4
-STATE_EVERY = 5 * SECOND
-IN_HAND_LIMIT, SESSIONS_LIMIT = 2000, 20_000
-IDLE_LIMIT = 20 * SECOND  # for a connection to a server that nothing depends on
-DRAIN_LOOK = SECOND // 50  # while the node ends
-FLUSH = SECOND // 10  # for what was written last to leave, at the end
-SPARE_DESCRIPTORS = 64  # kept for everything but viewers and servers
-VIEWERS_SHARE = 3  # the protocol: viewers hold a third of the descriptors at most; they are never given less
+TICK_INTERVAL_US = SECOND // 4
+STATE_LOG_INTERVAL_US = 5 * SECOND
+IN_HAND_LIMIT = 2000
+SESSION_LIMIT = 20_000
+SERVER_IDLE_LIMIT_US = 20 * SECOND  # after which an unneeded connection to a server is closed
+DRAIN_TICK_INTERVAL_US = SECOND // 50
+FLUSH_TIMEOUT_US = SECOND // 10  # for the last writes to leave, at the end of the shutdown
+RESERVED_DESCRIPTORS = 64  # for everything but connections to viewers and servers
+# The protocol lets viewers hold up to a third of the descriptors, so their limit is never lower than that
+VIEWER_SHARE_DIVISOR = 3
 log = structlog.get_logger("node")
 
 
 class Node:
-    """Assembles a node; `run` until it is told to end."""
-
-    def __init__(self, place: NodeSettings, watched: bool = False) -> None:
-        """With `watched` the log tells what is believed of each server, at each look."""
-        self.watched = watched
-        bound = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
-        self.sockets = (
-            min(place.socket_limit, bound) if bound != resource.RLIM_INFINITY else place.socket_limit
+    """One node on the platform. `run` serves until a signal ends it."""
+
+    def __init__(self, settings: NodeSettings, log_accounts: bool = False) -> None:
+        """With `log_accounts` the node logs what it assumes of each server at each tick."""
+        self.log_accounts = log_accounts
+        process_limit = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
+        self.socket_limit = (
+            min(settings.socket_limit, process_limit)
+            if process_limit != resource.RLIM_INFINITY
+            else settings.socket_limit
         )
-        self.place, now = place, clock()
-        facts = replace(place.facts, wall=time.time_ns() // 1000 - now)
+        self.settings, now = settings, clock()
+        facts = replace(settings.facts, wall=time.time_ns() // 1000 - now)
         limits = Limits(
-            in_hand=IN_HAND_LIMIT, held=SESSIONS_LIMIT, connections=0, per_address=0, header_bytes=0,
+            in_hand=IN_HAND_LIMIT, held=SESSION_LIMIT, connections=0, per_address=0, header_bytes=0,
             body_bytes=0, header_time=0, idle_time=0, write_time=0, loop_lag=1 << 60, repeats=0,
             repeat_time=0, followers=0, drain_time=0,
         )  # fmt: skip
@@ -64,31 +68,37 @@
         self.pump = Pump(self.engine, self._carry_out)
         groups = tuple(group.name for group in facts.groups)
         apply = self.pump.apply
-        connect = facts.permissions.connect_timeout
-        self.servers = Servers(self.engine, apply, groups, connect, facts.me, facts.fronts)
+        connect_timeout = facts.permissions.connect_timeout
+        self.servers = Servers(self.engine, apply, groups, connect_timeout, facts.me, facts.fronts)
         self.servers.random.seed(facts.seed)
         self.viewers = Viewers(self.engine, apply, self.servers.expect_sessions, groups, 0)
         self.servers.violations = self.viewers.sessions.violations
-        roster = Roster(place.zones, place.kinds, facts.plant.cells, now - time.time_ns() // 1000)
+        roster = Roster(settings.zones, settings.kinds, facts.plant.cells, now - time.time_ns() // 1000)
         schedule = ReconnectSchedule(facts.me, facts.fronts, facts.rules.drain_grace, facts.seed)
         self.reserve = DescriptorReserve()
-        self.board = DiscoveryClient(
-            roster, self.engine, apply, self._learned, self.servers.enable_setups, schedule, self.reserve
+        self.discovery = DiscoveryClient(
+            roster,
+            self.engine,
+            apply,
+            self._apply_list_change,
+            self.servers.enable_setups,
+            schedule,
+            self.reserve,
         )
-        self.words = GossipSocket(
-            place, lambda peer, data: apply(lambda at: self.engine.word(at, peer, data))
+        self.gossip = GossipSocket(
+            settings, lambda peer, data: apply(lambda now: self.engine.word(now, peer, data))
         )
         self.acting = Acting()
         self.memory = MemoryGauge()
         self.drain: DrainSchedule | None = None
-        self._told_to_end = asyncio.Event()
-        self._most_lag = 0
+        self._shutdown_requested = asyncio.Event()
+        self._max_lag_us = 0
 
-    def _learned(self, change: ListChange) -> None:
+    def _apply_list_change(self, change: ListChange) -> None:
         self.servers.apply_list_change(change)
-        left, part = self.sockets - SPARE_DESCRIPTORS, self.sockets // VIEWERS_SHARE
-        self.viewers.max_connections = max(left - len(self.servers.links), part)
-        self.servers.max_connections = max(left - self.viewers.max_connections, part)
+        available, share = self.socket_limit - RESERVED_DESCRIPTORS, self.socket_limit // VIEWER_SHARE_DIVISOR
+        self.viewers.max_connections = max(available - len(self.servers.links), share)
+        self.servers.max_connections = max(available - self.viewers.max_connections, share)
 
     def _carry_out(self, effect: Effect) -> None:
         match effect:
@@ -97,36 +107,40 @@
             case fx.Reply() | fx.Push():
                 self.viewers.carry_out(effect)
             case fx.SendWord(peer, payload):
-                self.words.send(peer, payload)
+                self.gossip.send(peer, payload)
             case fx.Say(level, event, sess, detail):
                 getattr(log, level)(event, session=sess, detail=detail)
             case fx.WatchList() | fx.FetchList():
-                pass  # the board tells unasked
+                pass  # the notice board sends its list and changes unasked
 
     # Signals
 
     def reload(self, path: Path) -> None:
-        """Follow the board that the file names now. A file that can't be used changes nothing."""
+        """Move to the notice board that the settings file names now. An unusable file changes nothing."""
         self.reserve.release()
         try:
-            board = read_settings(path).board
+            address = read_settings(path).board
         except StartError as problem:
             log.error("reload-refused", why=str(problem))
             return
         finally:
             self.reserve.refill()
-        log.info("reloaded", board=board)
-        if board != self.board.address:
-            self.board.move_to(board)
+        log.info("reloaded", board=address)
+        if address != self.discovery.address:
+            self.discovery.move_to(address)
+
+    def begin_shutdown(self, signalled_at: int | None = None) -> None:
+        """Begin the shutdown. `signalled_at` is the time of the signal, by default now.
 
-    def end(self, told_at: int | None = None) -> None:
-        """Begin the shutdown, by a schedule that is made once; `told_at` is when the signal came."""
+        Does nothing if the shutdown has begun already."""
         if self.drain is not None:
             return
-        longest = max(group.setup_timeout for group in self.place.facts.groups)
-        self.drain = DrainSchedule.after_sigterm(clock() if told_at is None else told_at, longest)
+        longest_timeout = max(group.setup_timeout for group in self.settings.facts.groups)
+        self.drain = DrainSchedule.after_sigterm(
+            clock() if signalled_at is None else signalled_at, longest_timeout
+        )
         self.viewers.drain = self.drain
-        self._told_to_end.set()
+        self._shutdown_requested.set()
         log.info(
             "told-to-end",
             in_hand=self.engine.in_hand,
@@ -136,73 +150,75 @@
         )
 
     def _follow_signals(self, path: Path, early: Sequence[EarlySignal]) -> None:
-        """From here on signals reach us; `early` are those that came before, looked at once all reach us:
-        looked at sooner, one that comes after the look and before the handler would be heard by nobody."""
+        """Install the signal handlers, then handle `early`, the signals that came before that.
+
+        In the reverse order a signal that arrives between the two steps would be lost."""
         loop = asyncio.get_running_loop()
         loop.add_signal_handler(signal.SIGHUP, self.reload, path)
         for number in (signal.SIGTERM, signal.SIGINT):
-            loop.add_signal_handler(number, self.end)
-        if any(one.number == signal.SIGHUP for one in early):
+            loop.add_signal_handler(number, self.begin_shutdown)
+        if any(received.number == signal.SIGHUP for received in early):
             self.reload(path)
-        for one in early:
-            if one.number in (signal.SIGTERM, signal.SIGINT):
-                self.end(one.received_at_ns // 1000)
+        for received in early:
+            if received.number in (signal.SIGTERM, signal.SIGINT):
+                self.begin_shutdown(received.received_at_ns // 1000)
 
     async def run(self, path: Path, early: Sequence[EarlySignal] = ()) -> None:
-        """Serve until SIGTERM and the end of the drain. Raises OSError where an address can't be had."""
-        await self.words.start()
-        self.board.start(self.place)
-        # The first third of the grace is for the turn in which the list is asked, the second for its answer
-        until = 2 * self.place.facts.rules.drain_grace / 3 / SECOND
-        asyncio.get_running_loop().call_later(until, self.servers.enable_setups)
+        """Serve until a signal and the end of the drain. Raises OSError if an address cannot be bound."""
+        await self.gossip.start()
+        self.discovery.start(self.settings)
+        # SETUPs wait for the list until two thirds of the drain grace have passed: the first third is for the
+        # node's turn to ask for the list, the second for the answer
+        setups_enabled_after = 2 * self.settings.facts.rules.drain_grace / 3 / SECOND
+        asyncio.get_running_loop().call_later(setups_enabled_after, self.servers.enable_setups)
         self._follow_signals(path, early)
-        await self.viewers.start(*self.place.listen)
+        await self.viewers.start(*self.settings.listen)
         self.viewers.ready = True
-        log.debug("facts", facts=self.place.facts, limits=self.place.socket_limit)
+        log.debug("facts", facts=self.settings.facts, limits=self.settings.socket_limit)
         self.reserve.refill()
         memory_kb = self.memory.resident_kb()
-        log.info("node-started", name=self.place.name, me=self.place.facts.me, memory_kb=memory_kb)
-        due, say = clock() + LOOK, clock() + STATE_EVERY
+        log.info("node-started", name=self.settings.name, me=self.settings.facts.me, memory_kb=memory_kb)
+        due, log_at = clock() + TICK_INTERVAL_US, clock() + STATE_LOG_INTERVAL_US
         while self.drain is None:
             await self._wait_until(due)
             now = clock()
-            self._most_lag, due = max(self._most_lag, now - due), max(due + LOOK, now)
-            self._look(now)
-            if self.watched:
+            self._max_lag_us, due = max(self._max_lag_us, now - due), max(due + TICK_INTERVAL_US, now)
+            self._tick(now)
+            if self.log_accounts:
                 log.debug("account", rows=account(self.front, now))
-            if now >= say:
-                say = now + STATE_EVERY
+            if now >= log_at:
+                log_at = now + STATE_LOG_INTERVAL_US
                 self.acting.look(self.front, now)
-                self._say()
-        await self._end_by(self.drain)
+                self._log_state()
+        await self._shut_down(self.drain)
 
     async def _wait_until(self, due: int) -> None:
-        """Sleep, or until SIGTERM."""
+        """Sleep until `due` or the beginning of the shutdown."""
         with contextlib.suppress(TimeoutError):
-            await within(max(due - clock(), 0) / SECOND, self._told_to_end.wait())
+            await within(max(due - clock(), 0) / SECOND, self._shutdown_requested.wait())
 
-    def _look(self, now: int) -> None:
-        self.servers.tick(now, min(IDLE_LIMIT, 2 * self.place.server_idle_timeout_us // 3))
+    def _tick(self, now: int) -> None:
+        self.servers.tick(now, min(SERVER_IDLE_LIMIT_US, 2 * self.settings.server_idle_timeout_us // 3))
         self.viewers.tick(now)
         self.reserve.refill()
 
-    async def _end_by(self, drain: DrainSchedule) -> None:
-        """The shutdown: forward, refuse, close, each from its time in the schedule on."""
+    async def _shut_down(self, drain: DrainSchedule) -> None:
+        """Go through the phases of the shutdown, each from its time in the schedule on."""
         while drain.phase(clock()) is DrainPhase.FORWARDING:
-            await asyncio.sleep(DRAIN_LOOK / SECOND)
-            self._look(clock())
+            await asyncio.sleep(DRAIN_TICK_INTERVAL_US / SECOND)
+            self._tick(clock())
         log.info("drain-phase", phase="refusing", in_hand=self.engine.in_hand, held=self.engine.held)
         self.engine.gate.draining, self.viewers.ready = True, False
         await self.viewers.stop_accepting(drain.answer_by)
-        while drain.phase(clock()) is DrainPhase.REFUSING and not self._nothing_left():
+        while drain.phase(clock()) is DrainPhase.REFUSING and not self._is_drained():
             self.viewers.close_idle()
-            await asyncio.sleep(DRAIN_LOOK / SECOND)
-            self._look(clock())
+            await asyncio.sleep(DRAIN_TICK_INTERVAL_US / SECOND)
+            self._tick(clock())
         log.info("drain-phase", phase="closing", in_hand=self.engine.in_hand, held=self.engine.held)
         await self._close(drain)
 
-    def _nothing_left(self) -> bool:
-        """Whether nobody waits or plays, and nothing is left to be said."""
+    def _is_drained(self) -> bool:
+        """Whether no request is open, no session plays and no message is left to be sent."""
         viewers = self.viewers
         return not (
             self.engine.held
@@ -211,31 +227,32 @@
             or self.servers.unsent
         )
 
-    def _say(self) -> None:
+    def _log_state(self) -> None:
         counts, viewers, servers = self.engine.counts, self.viewers, self.servers
         log.info(
             "state", in_hand=self.engine.in_hand, held=self.engine.held, viewers=len(viewers.connections),
             servers=len(servers.links), releases_pending=len(viewers.sessions.pending),
             sessions=viewers.sessions.counts, violations=viewers.sessions.violations.counts,
-            lag_us=self._most_lag, memory_kb=self.memory.resident_kb(),
+            lag_us=self._max_lag_us, memory_kb=self.memory.resident_kb(),
             faults=counts.faults, answers=counts.answers, setups=counts.setups, stray=counts.stray,
             viewers_seen=viewers.counts, servers_seen=servers.counts,
             session_lines_left_out=viewers.session_log.lines_dropped,
-            leases=servers.lease_counts(clock()), words=self.words.sent, words_lost=self.words.lost,
-            board_breaks=self.board.disconnects,
-            board_losses=self.board.schedule.losses, board_age_ms=self.board.schedule.age(clock()) // 1000,
+            leases=servers.lease_counts(clock()), words=self.gossip.sent, words_lost=self.gossip.lost,
+            board_breaks=self.discovery.disconnects,
+            board_losses=self.discovery.schedule.losses,
+            board_age_ms=self.discovery.schedule.age(clock()) // 1000,
         )  # fmt: skip
-        self._most_lag = 0
+        self._max_lag_us = 0
 
     async def _close(self, drain: DrainSchedule) -> None:
-        """The end, in its order: every set-up is answered, viewers' connections end once read, servers' once
-        written; then the list, the peers' messages and the clock."""
-        until = max(clock(), drain.answer_by) + FLUSH
+        """Close everything in order: viewers' connections once all requests are answered and read, servers'
+        connections once they are flushed, discovery, gossip, the timer and the reserved descriptors."""
+        until = max(clock(), drain.answer_by) + FLUSH_TIMEOUT_US
         await self.viewers.close(until)
         await self.servers.close(until)
-        self.board.close()
-        self.words.close()
+        self.discovery.close()
+        self.gossip.close()
         self.pump.close()
         self.reserve.close()
-        self._say()
+        self._log_state()
         log.info("node-ended")
--- a/ponddoor/node/serving.py
+++ b/ponddoor/node/serving.py
@@ -1,4 +1,4 @@
-"""From the environment to a node that serves, with its log on standard error."""
+"""Starts a node from its environment variables, with its log on standard error."""
 
 import asyncio
 import gc
@@ -15,7 +15,9 @@
 
 
 def serve(environment: Mapping[str, str], early: list[EarlySignal]) -> int:
-    """The exit status. `early` takes the signals that come before the loop has its handlers."""
+    """Run a node and return its exit status: 2 if its settings are unusable, 1 if an address cannot be bound.
+
+    `early` collects the signals that arrive before the event loop has its handlers."""
     level = 10 if environment.get("PONDDOOR_LOG") == "debug" else 20
     structlog.configure(
         processors=[
@@ -28,8 +30,8 @@
         logger_factory=structlog.PrintLoggerFactory(cast(TextIO, LogStream(sys.stderr))),
     )
     try:
-        path, place = read_environment(environment)
-        node = Node(place, watched=level == 10)
+        path, settings = read_environment(environment)
+        node = Node(settings, log_accounts=level == 10)
     except StartError as problem:
         print(f"ponddoor.node: {problem}", file=sys.stderr)
         return 2
--- a/ponddoor/node/session_log.py
+++ b/ponddoor/node/session_log.py
@@ -1,6 +1,6 @@
-"""The log of sessions: a line as each begins to stand, is over, and is released to its viewer.
+"""The log of sessions: one line when a session stands, when it is over, and when its release is sent.
 
-`ponddoor timeline` joins these lines with those of connections to servers."""
+`ponddoor timeline` joins these lines with those about connections to servers."""
 
 from dataclasses import dataclass
 
@@ -15,25 +15,25 @@
 
 @dataclass(slots=True)
 class SessionLog:
-    """Writes a bounded number of lines in each second, and counts those that it leaves out."""
+    """Writes at most MAX_LINES_PER_SECOND lines, and counts the lines dropped beyond that."""
 
     lines_dropped: int = 0
     _second: int = 0
     _lines: int = 0
 
     def session_standing(self, session: str, server: int, connection: int) -> None:
-        """A set-up was answered: the session stands. `connection` is the viewer's."""
+        """A session stands: its request was answered, or it was handed over. `connection` is its viewer's."""
         self._write("session-stands", session, server=server_id(server), viewer_connection=connection)
 
-    def session_over(self, session: str, why: str) -> None:
-        """A session that stood is over."""
-        self._write("session-over", session, why=why)
+    def session_over(self, session: str, reason: str) -> None:
+        """A standing session is over."""
+        self._write("session-over", session, why=reason)
 
-    def session_released(self, session: str, connection: int, again: bool) -> None:
-        """Its release was written to a viewer's connection."""
-        self._write("session-released", session, viewer_connection=connection, again=again)
+    def session_released(self, session: str, connection: int, resent: bool) -> None:
+        """A session's release was written to a viewers' connection; `resent` if not for the first time."""
+        self._write("session-released", session, viewer_connection=connection, again=resent)
 
-    def _write(self, event: str, session: str, **more: object) -> None:
+    def _write(self, event: str, session: str, **fields: object) -> None:
         second = clock() // SECOND
         if second != self._second:
             self._second, self._lines = second, 0
@@ -41,4 +41,4 @@
         if self._lines > MAX_LINES_PER_SECOND:
             self.lines_dropped += 1
         else:
-            log.info(event, session=session, **more)
+            log.info(event, session=session, **fields)
--- a/ponddoor/node/start.py
+++ b/ponddoor/node/start.py
@@ -1,4 +1,4 @@
-"""What a node is told at its start: the environment and the platform's JSON file, checked whole."""
+"""Reads and validates a node's settings: environment variables and the platform's JSON file."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
@@ -13,11 +13,13 @@
 from ponddoor.platform.facts import MalformedError, ms_to_us, site_facts, zone_and_kind_names
 
 Address = tuple[str, int]
-_NAME, _LISTEN, _FILE = "BALANCER_NAME", "BALANCER_LISTEN", "BALANCER_CONFIG"
+_NAME_VARIABLE = "BALANCER_NAME"
+_LISTEN_VARIABLE = "BALANCER_LISTEN"
+_FILE_VARIABLE = "BALANCER_CONFIG"
 
 
 class StartError(Exception):
-    """What the node was told can't be used; the text is one line for people."""
+    """Unusable settings. The text is one line, for the operator."""
 
 
 class _Limits(msgspec.Struct, frozen=True):
@@ -49,7 +51,11 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeSettings:
-    """One node's place on the platform. `peers` are all fronts' addresses by number, our own among them."""
+    """The settings of one node.
+
+    `socket_limit` bounds the node's open sockets. `board` is the address of the notice board, `known_notices`
+    has the server list to start with. `peers` has the addresses of all fronts by number, this node's
+    included; messages to all fronts go to `peers_all`."""
 
     name: str
     listen: Address
@@ -66,38 +72,40 @@
 
 
 def read_environment(environment: Mapping[str, str]) -> tuple[Path, NodeSettings]:
-    """The file's path and what it says. Raises StartError."""
-    for name in (_NAME, _LISTEN, _FILE):
+    """Return the path of the settings file and its content. Raises StartError."""
+    for name in (_NAME_VARIABLE, _LISTEN_VARIABLE, _FILE_VARIABLE):
         if not environment.get(name):
-            raise StartError(f"the variable {name} is missing")
-    path = Path(environment[_FILE])
+            raise StartError(f"environment variable {name} is not set")
+    path = Path(environment[_FILE_VARIABLE])
     settings = read_settings(path)
-    if settings.listen != parse_address(environment[_LISTEN], _LISTEN):
-        raise StartError(f"{_LISTEN} is {environment[_LISTEN]}, listen in {path} differs")
+    if settings.listen != parse_address(environment[_LISTEN_VARIABLE], _LISTEN_VARIABLE):
+        raise StartError(
+            f"{_LISTEN_VARIABLE} is {environment[_LISTEN_VARIABLE]}, but listen in {path} differs from it"
+        )
     return path, settings
 
 
 def read_settings(path: Path) -> NodeSettings:
-    """What the file says. Raises StartError."""
+    """Read a settings file. Raises StartError."""
     try:
         raw = msgspec.json.decode(path.read_bytes(), type=_File)
         facts, _ = site_facts(int(raw.seed, 16), bytes(raw.settings))
         zones, kinds = zone_and_kind_names(bytes(raw.settings))
-        idle = ms_to_us(msgspec.json.decode(raw.settings, type=_Settings).permissions.idle_ms)
-        known = tuple(board_codec.decode_initial_list(msgspec.json.decode(raw.known)))
+        server_idle_timeout = ms_to_us(msgspec.json.decode(raw.settings, type=_Settings).permissions.idle_ms)
+        known_notices = tuple(board_codec.decode_initial_list(msgspec.json.decode(raw.known)))
         peers = tuple(parse_address(text, "peers") for text in raw.peers)
         if raw.limits.sockets < 64:
-            raise StartError(f"sockets is {raw.limits.sockets}, 64 at least are needed")
+            raise StartError(f"limits.sockets is {raw.limits.sockets}, must be at least 64")
         return NodeSettings(
             raw.name,
             parse_address(raw.listen, "listen"),
             raw.limits.sockets,
-            idle,
+            server_idle_timeout,
             facts,
             zones,
             kinds,
             parse_address(raw.board, "board"),
-            known,
+            known_notices,
             parse_address(raw.peer_listen, "peer_listen") if raw.peer_listen else None,
             peers,
             parse_address(raw.peers_all, "peers_all") if raw.peers_all else None,
@@ -108,9 +116,9 @@
         raise StartError(f"{path}: {' '.join(str(problem).split())[:300]}") from None
 
 
-def parse_address(text: str, what: str) -> Address:
-    """A host and a port. Raises StartError."""
+def parse_address(text: str, setting: str) -> Address:
+    """Parse `host:port`. `setting` names the source for the error text. Raises StartError."""
     host, _, port = text.rpartition(":")
     if not host or not port.isdigit() or not 0 < int(port) < 65536:
-        raise StartError(f"{what}: {text!r} is no address")
+        raise StartError(f"{setting}: {text!r} is not of the form host:port")
     return host, int(port)
--- a/ponddoor/node/timeline.py
+++ b/ponddoor/node/timeline.py
@@ -1,4 +1,4 @@
-"""`ponddoor timeline`: what the logs of nodes tell of one session, in order of time."""
+"""`ponddoor timeline`: the log lines of several nodes about one session, in order of time."""
 
 import json
 import sys
@@ -9,7 +9,8 @@
 
 import click
 
-AROUND_S = 10.0  # lines of its server so long before it stands and after it is over
+# Lines about the session's server are shown from this long before its first line to this long after its last
+SERVER_LINES_MARGIN_S = 10.0
 SERVER_EVENTS = frozenset(
     (
         "connection-opened",
@@ -24,7 +25,7 @@
 
 
 class TimelineError(Exception):
-    """Logs that can't be used; the text is one line."""
+    """Unusable log lines. The text is one line, for the operator."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -32,76 +33,81 @@
     """One line of a node's log."""
 
     node: str
-    at: str  # as logged, ISO 8601 in UTC
+    timestamp: str  # as logged, ISO 8601 in UTC
     event: str
     fields: dict[str, object]
 
-    def names(self, session: str) -> bool:
-        """Whether it is about a session."""
+    def mentions(self, session: str) -> bool:
+        """Whether the line is about a session."""
         ids = self.fields.get("ids")
         return self.fields.get("session") == session or (isinstance(ids, list) and session in ids)
 
-    def shown(self) -> str:
-        """As a line of the timeline."""
-        more = " ".join(f"{name}={value}" for name, value in self.fields.items())
-        return f"{self.at} {self.node} {self.event} {more}".rstrip()
+    def format(self) -> str:
+        """Format as a line of the timeline."""
+        pairs = " ".join(f"{name}={value}" for name, value in self.fields.items())
+        return f"{self.timestamp} {self.node} {self.event} {pairs}".rstrip()
 
 
-def read(node: str, lines: Iterable[str]) -> Iterator[LogLine]:
-    """The lines of one log that can be read."""
+def read_log(node: str, lines: Iterable[str]) -> Iterator[LogLine]:
+    """Yield the lines of one log. Lines of another form are skipped."""
     for line in lines:
         try:
-            got = json.loads(line)
+            fields = json.loads(line)
         except ValueError:
             continue
-        if isinstance(got, dict) and isinstance(got.get("timestamp"), str) and "event" in got:
-            at, event = str(got.pop("timestamp")), str(got.pop("event"))
-            got.pop("level", None)
-            yield LogLine(node, at, event, got)
+        if isinstance(fields, dict) and isinstance(fields.get("timestamp"), str) and "event" in fields:
+            timestamp, event = str(fields.pop("timestamp")), str(fields.pop("event"))
+            fields.pop("level", None)
+            yield LogLine(node, timestamp, event, fields)
 
 
 def timeline(session: str, lines: Iterable[LogLine]) -> list[LogLine]:
-    """The lines about a session, and those about its server while it stood there."""
-    ordered = sorted(lines, key=lambda one: one.at)
-    named = [one for one in ordered if one.names(session)]
-    if not named:
+    """Select the lines about a session, and those about its servers around that time, in order of time.
+
+    Lines about servers are taken only from nodes that mention the session."""
+    ordered = sorted(lines, key=lambda line: line.timestamp)
+    mentions = [line for line in ordered if line.mentions(session)]
+    if not mentions:
         return []
-    nodes = {one.node for one in named}
-    servers = {one.fields["server"] for one in named if "server" in one.fields}
-    first, last = _seconds(named[0].at) - AROUND_S, _seconds(named[-1].at) + AROUND_S
+    nodes = {line.node for line in mentions}
+    servers = {line.fields["server"] for line in mentions if "server" in line.fields}
+    first, last = (
+        _seconds(mentions[0].timestamp) - SERVER_LINES_MARGIN_S,
+        _seconds(mentions[-1].timestamp) + SERVER_LINES_MARGIN_S,
+    )
     return [
-        one
-        for one in ordered
-        if one.names(session)
+        line
+        for line in ordered
+        if line.mentions(session)
         or (
-            one.event in SERVER_EVENTS
-            and one.node in nodes
-            and one.fields.get("server") in servers
-            and first <= _seconds(one.at) <= last
+            line.event in SERVER_EVENTS
+            and line.node in nodes
+            and line.fields.get("server") in servers
+            and first <= _seconds(line.timestamp) <= last
         )
     ]
 
 
-def _seconds(at: str) -> float:
+def _seconds(timestamp: str) -> float:
     try:
-        return datetime.fromisoformat(at).timestamp()
+        return datetime.fromisoformat(timestamp).timestamp()
     except ValueError:
-        raise TimelineError(f"{at[:40]!r} is no time of a log") from None
+        raise TimelineError(f"timestamp {timestamp[:40]!r} is not in ISO 8601 format") from None
 
 
 @click.command(name="timeline")
 @click.argument("session")
 @click.argument("logs", nargs=-1, type=click.File("r", encoding="utf-8", errors="replace"))
 def command(session: str, logs: tuple[TextIO, ...]) -> None:
-    """Print what nodes' LOGS tell of one SESSION, in order of time. Without LOGS: standard input."""
+    """Print the lines of nodes' LOGS about one SESSION in order of time. Without LOGS: standard input."""
     try:
-        lines = [line for one in logs or (sys.stdin,) for line in read(one.name, one)]
-        found = timeline(session, lines)
+        lines = [line for log_file in logs or (sys.stdin,) for line in read_log(log_file.name, log_file)]
+        selected = timeline(session, lines)
     except TimelineError as problem:
         click.echo(f"ponddoor timeline: {problem}", err=True)
         sys.exit(2)
-    if not found:
-        click.echo(f"ponddoor timeline: no line names session {session}", err=True)
+    if not selected:
+        click.echo(f"ponddoor timeline: no log line mentions session {session}", err=True)
         sys.exit(1)
-    for line in found:
-        click.echo(line.shown())
+    for line in selected:
+        click.echo(line.format())
--- a/tests/node/conftest.py
+++ b/tests/node/conftest.py
@@ -38,9 +38,9 @@
     "half": (node_viewers, "PARTIAL_MESSAGE_TIMEOUT_US"),
     "half_a_line": (node_server_link, "PARTIAL_LINE_TIMEOUT_US"),
     "last": (drain, "FORWARD_FOR"),
-    "look": (node_process, "LOOK"),
-    "spare": (node_process, "SPARE_DESCRIPTORS"),
-    "share": (node_process, "VIEWERS_SHARE"),
+    "look": (node_process, "TICK_INTERVAL_US"),
+    "spare": (node_process, "RESERVED_DESCRIPTORS"),
+    "share": (node_process, "VIEWER_SHARE_DIVISOR"),
 }
 BINARY = {9: "stands", 12: "ends", 51: "moved", 53: "tested"}
 CAUSES = {"busy": 34, "failed": 47, "lost": 41, "over": 16}
@@ -220,8 +220,8 @@
             talk.end()
             talk.task.cancel()
         await self.node.servers.close(clock() + SOON)
-        self.node.board.close()
-        self.node.words.close()
+        self.node.discovery.close()
+        self.node.gossip.close()
         self.node.pump.close()
         await self.node.viewers.close(clock() + SOON)
         assert not self.node.viewers.sessions.violations.counts
@@ -262,7 +262,7 @@
                     self.write_file(what[0])
                 self.node.reload(self.path)
             case "is-told-to-end":
-                self.node.end()
+                self.node.begin_shutdown()
             case "ends":
                 await self.task
             case "holds":
@@ -277,8 +277,8 @@
             "waiting": node.engine.in_hand,
             "servers": len(node.servers.links),
             "viewers": len(node.viewers.connections),
-            "listed": len(node.board.roster.entries),
-            "version": node.board.roster.version,
+            "listed": len(node.discovery.roster.entries),
+            "version": node.discovery.roster.version,
             "standing": node.viewers.sessions.standing,
             "asked": len(node.viewers.sessions.open_requests()),
         }
--- a/tests/node/test_crossings.py
+++ b/tests/node/test_crossings.py
@@ -254,7 +254,7 @@
         viewer, node = await proven(world), world.node
 
         def late(*_: Any) -> None:
-            done.append(node._nothing_left())
+            done.append(node._is_drained())
 
         before(world.patch, node_viewers.Viewers, "_submit", late)
         viewer.send(set_up("1"))
@@ -274,7 +274,7 @@
                 told_of.append(wire.owner.number)
                 row = world.row(wire.owner.number, "terminating")
                 pool = {"revision": 2, "complete": False, "members": [row]}
-                world.node.board._handle_line(json_line({"rev": 2, "pool": pool}))
+                world.node.discovery._handle_line(json_line({"rev": 2, "pool": pool}))
 
         before(world.patch, ServerConnection, "connection_made", drains)
         viewer.send(set_up("1"))
@@ -376,7 +376,7 @@
 
         instant = "stop_accepting" if how == "on a new connection" else "answer_all"
         before(world.patch, node_viewers.Viewers, instant, lambda *_: comes())
-        world.node.end()
+        world.node.begin_shutdown()
         while not came:
             await asyncio.sleep(0)
         answers = dict[str, bytes]()
@@ -414,7 +414,7 @@
             closed.append(reason)
 
         before(world.patch, node_viewers.Viewers, "close_connection", comes)
-        world.node.end()
+        world.node.begin_shutdown()
         heard = [answer async for answer in until_the_end(viewers[1])]
         assert closed[0] == why
         assert [answer[0] for answer in heard if answer[1:9].hex() == sess("1")] == [12]
@@ -432,7 +432,7 @@
         viewer.send(set_up("1")[:20])
         while not world.node.viewers.has_unfinished_requests:
             await asyncio.sleep(0)
-        world.node.end()
+        world.node.begin_shutdown()
         await world.task
         assert await viewer.hears() == b""
         viewer.close()
@@ -464,7 +464,7 @@
                     await asyncio.sleep(0)
             rest = data[5:]
             await asyncio.sleep(0.002)
-            world.node._look(clock())
+            world.node._tick(clock())
         if side == "viewer":
             assert not world.node.viewers.counts.get("partial-message")
         else:
@@ -498,8 +498,8 @@
         while world.node.engine.held:
             await asyncio.sleep(0)
         looks = list[int]()
-        before(world.patch, world.node, "_nothing_left", lambda: looks.append(0))
-        world.node.end()
+        before(world.patch, world.node, "_is_drained", lambda: looks.append(0))
+        world.node.begin_shutdown()
         while len(looks) < 20 and not world.task.done():
             await asyncio.sleep(0)
         gate.set()
@@ -664,7 +664,7 @@
             viewer.send(set_up(str(100 + round_)))
             await setups(world, str(100 + round_))
             viewer.close()
-        limit = world.node.viewers.max_connections + 8 * node_listener.AT_ONCE
+        limit = world.node.viewers.max_connections + 8 * node_listener.ACCEPT_BATCH_SIZE
         assert len(crowd) == 1000 and max(most) <= limit, (max(most), limit)
         for raw in crowd:
             raw.close()
@@ -791,7 +791,7 @@
         world.given("silence=0.1")
         await world.begin()
         await world.step("b", "is-asked", "1")
-        board = world.node.board
+        board = world.node.discovery
         await world.step("b", "counts", "1")
         while not world.node.servers.setups_enabled:
             await asyncio.sleep(0)
--- a/tests/node/test_node.py
+++ b/tests/node/test_node.py
@@ -149,7 +149,7 @@
 
 SOME_LINES = 30  # of the log, within which what is waited for has to come
 QUICK_STATE = (
-    "import sys; from ponddoor.node import process; process.STATE_EVERY = 100_000; "
+    "import sys; from ponddoor.node import process; process.STATE_LOG_INTERVAL_US = 100_000; "
     "from ponddoor.node.__main__ import main; sys.exit(main())"
 )
 
