--- a/ponddoor/node/start.py
+++ b/ponddoor/node/start.py
@@ -120,5 +120,5 @@
     """Parse `host:port`. `setting` names the source for the error text. Raises StartError."""
     host, _, port = text.rpartition(":")
     if not host or not port.isdigit() or not 0 < int(port) < 65536:
-        raise StartError(f"{setting}: {text!r} is not of the form host:port")
+        raise StartError(f"{setting}: {text!r} is not a valid host:port address")
     return host, int(port)
