--- a/tests/node/test_node.py
+++ b/tests/node/test_node.py
@@ -95,7 +95,7 @@
         ("specifics", {"floorByClass": [9]}, "group talks: floor 9"),
         ("specifics", {"floorByClass": [-1]}, "group talks: floor -1"),
         ("specifics", {"classSeats": [-1]}, "group talks: -1 seats"),
-        ("lanes", {"semantics": "twice"}, "an effect of 'twice'"),
+        ("lanes", {"semantics": "twice"}, "unknown semantics 'twice'"),
     ],
 )
 def test_terms_that_nobody_can_keep(tmp_path: Path, part: str, terms: dict[str, object], words: str) -> None:
@@ -149,7 +149,7 @@
 
 SOME_LINES = 30  # of the log, within which what is waited for has to come
 QUICK_STATE = (
-    "import sys; from ponddoor.node import process; process.STATE_EVERY = 100_000; "
+    "import sys; from ponddoor.node import process; process.STATE_LOG_INTERVAL_US = 100_000; "
     "from ponddoor.node.__main__ import main; sys.exit(main())"
 )
 
