--- a/ponddoor/interface/__init__.py
+++ b/ponddoor/interface/__init__.py
@@ -1,5 +1,5 @@
-"""What passes between the decisions and whoever hosts them, free of any wire.
+"""The interface between a front's decisions and their host, independent of any wire format.
 
-`facts` holds what a front is told at its start, `events` what happens to it, `actions` what it asks for.
-All times are whole microseconds; ids are opaque.
+`facts` is a front's configuration, `events` are its inputs and `actions` its outputs; `words` are the
+messages between fronts. All times are whole microseconds; ids are opaque numbers.
 """
--- a/ponddoor/interface/actions.py
+++ b/ponddoor/interface/actions.py
@@ -1,8 +1,12 @@
-"""What a front asks for.
+"""The actions that a front's decisions request from their host.
 
-A generator of the decisions yields these. `Setup` is resumed with Started, Ended or ViewerLeft; `Play`
-with Ended or ViewerLeft; `Wait` with None at its time, or earlier with ViewerLeft; `WaitForPeerMessage`
-likewise, or with the next PeerMessage. All others take effect at once.
+The generators of the decisions (`interface.script`) yield them to `runtime.driver`. Four suspend the
+generator: `Setup` until Started, Ended or ViewerLeft; `Play` until Ended or ViewerLeft; `Wait` until its
+time, when the generator is resumed with None, or until ViewerLeft; `WaitForPeerMessage` likewise, or until
+the next PeerMessage. All others are requested and the generator goes on at once.
+
+Times and durations are in microseconds. `req_id` is the number of a session's request, `server` that of a
+server.
 """
 
 from dataclasses import dataclass
@@ -10,7 +14,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Setup:
-    """Ask a server to start the session."""
+    """Send a SETUP to a server. It fails if there is no answer within `timeout` (0: within the viewer's
+    time)."""
 
     req_id: int
     server: int
@@ -19,26 +24,26 @@
 
 @dataclass(frozen=True, slots=True)
 class Play:
-    """Hold the session until it ends."""
+    """Suspend until the session that plays ends."""
 
 
 @dataclass(frozen=True, slots=True)
 class Wait:
-    """Do nothing until a moment."""
+    """Suspend until a time."""
 
     until: int
 
 
 @dataclass(frozen=True, slots=True)
 class WaitForPeerMessage:
-    """Wait for the next message of another front, until a moment at most (None: for ever)."""
+    """Suspend until the next message of another front, at most until a time (None: without limit)."""
 
     until: int | None
 
 
 @dataclass(frozen=True, slots=True)
 class SetRung:
-    """Choose the session's rung."""
+    """Set the rung of a session's stream."""
 
     req_id: int
     rung: int
@@ -46,7 +51,8 @@
 
 @dataclass(frozen=True, slots=True)
 class BusyReply:
-    """Final answer: turned away, with the time after which to come back (0: no advice)."""
+    """Answer a request finally: it is refused. `come_back` is how long the viewer should wait before it asks
+    again (0: no advice)."""
 
     req_id: int
     come_back: int
@@ -54,14 +60,14 @@
 
 @dataclass(frozen=True, slots=True)
 class TearDown:
-    """Final answer: failed."""
+    """Answer a request finally: the session failed."""
 
     req_id: int
 
 
 @dataclass(frozen=True, slots=True)
 class Cancel:
-    """Give up waiting for one SETUP."""
+    """Abandon one SETUP of a request; `attempt` counts its SETUPs from 0."""
 
     req_id: int
     attempt: int
@@ -69,14 +75,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Move:
-    """End a session that plays; its viewer comes back to this front."""
+    """End a session that plays, so that its viewer requests it again from this front and it can be placed
+    anew."""
 
     req_id: int
 
 
 @dataclass(frozen=True, slots=True)
 class Probe:
-    """Ask a server for its load."""
+    """Probe a server: ask it for its load report."""
 
     server: int
 
@@ -90,7 +97,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendPeerMessage:
-    """Send bytes to one front, or to all others."""
+    """Send a message to one other front, or to all others (`peer` None)."""
 
     peer: int | None
     payload: bytes
@@ -98,26 +105,26 @@
 
 @dataclass(frozen=True, slots=True)
 class Watch:
-    """Subscribe to news of the servers, or end that."""
+    """Begin or end the watch on the list of servers."""
 
     active: bool
 
 
 @dataclass(frozen=True, slots=True)
 class FetchServers:
-    """Ask once for the full list of servers."""
+    """Fetch the full list of servers once."""
 
 
 @dataclass(frozen=True, slots=True)
 class Log:
-    """Record a line."""
+    """Write a line to the log."""
 
     text: str
 
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Ask for a TimerDue. Only the runtime asks for this."""
+    """Request a TimerDue with this cookie at a time. Only the runtime requests timers."""
 
     due: int
     cookie: int
--- a/ponddoor/interface/events.py
+++ b/ponddoor/interface/events.py
@@ -1,4 +1,8 @@
-"""What happens to a front."""
+"""The events that a front's host passes to its decisions.
+
+Names of classes and fields are written to traces. Times and durations are in microseconds. `req_id` is the
+number of a session's request, `attempt` counts the SETUPs of a request from 0, `server` is the number of a
+server and `lag` how long its answer took."""
 
 from dataclasses import dataclass, field
 from enum import Enum
@@ -7,7 +11,7 @@
 
 
 class ServerState(Enum):
-    """What the list says of a server."""
+    """A server's state in the list of servers."""
 
     GONE = 0
     DRAINING = 1
@@ -15,7 +19,8 @@
 
 
 class NewsScope(Enum):
-    """How a piece of news relates to the list in hand."""
+    """How the rows of a ServerNews relate to the list that the front has: changed rows only, the whole list,
+    the whole list from a stored copy, or no rows because the list can not be reached."""
 
     CHANGES = 0
     FULL = 1
@@ -24,7 +29,10 @@
 
 
 class Result(Enum):
-    """How a SETUP, or the session it began, ended."""
+    """How a SETUP, or the session that it began, ended.
+
+    FULL is a server's refusal. MOOT is a SETUP that was not run because it could not be sent or was no
+    longer needed."""
 
     SERVED = "served"
     ERROR = "error"
@@ -37,7 +45,8 @@
 
 
 class NoteKind(Enum):
-    """What a note on a session tells."""
+    """What the value of a Note is: the share of the stream's rate that is delivered, the session's rung, or
+    the load asked of the server's link or of its rack's uplink, as a ratio to its capacity."""
 
     DELIVERED = 1
     RUNG = 2
@@ -47,7 +56,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerRow:
-    """One server as the list has it."""
+    """One server's entry in the list of servers.
+
+    `kind` is an index into `Plant.streams`. `weight` times `Plant.kb_per_weight` is its link's capacity.
+    `started_at` is when its process started, 0 if that is not known."""
 
     server: int
     zone: int
@@ -60,7 +72,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerNews:
-    """News of the list of servers."""
+    """A change of the list of servers, or the list itself."""
 
     scope: NewsScope
     rows: tuple[ServerRow, ...] = ()
@@ -68,8 +80,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Means:
-    """What a player can take, by its own word, as far as it is believed: rates in kB a second, its buffer and
-    the time until it needs media in microseconds; `taken` is when it measured."""
+    """What a player reports that it can receive, after the checks of `ponddoor.hints`.
+
+    `taken` is when it measured. `throughput_kb` is the throughput it measured and `top_kb` the highest rate
+    that it can use, in kB a second. `buffer` is how much media it has buffered and `due` the time until it
+    needs more; `starved` is whether it has run out. None is not reported."""
 
     taken: int
     throughput_kb: float | None = None
@@ -81,7 +96,12 @@
 
 @dataclass(frozen=True, slots=True)
 class SessionRequest:
-    """A viewer wants a session."""
+    """A viewer requests a session.
+
+    `key` identifies the request to servers that remember keys. The title lies in `span` cells from the cell
+    `home` on. `top` is the highest rung that the viewer can use, `time_left` the time in which it must be
+    answered and `length_hint` the expected length of the session. `moved` is set if the viewer's session was
+    ended by a Move, `again` if it says that it has requested the session before."""
 
     req_id: int
     service_group: int
@@ -100,7 +120,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HandedOver:
-    """A session that plays already when the front starts."""
+    """A session that already plays when the front starts, taken over from the process before it."""
 
     request: SessionRequest
     server: int
@@ -108,7 +128,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Note:
-    """News of a session's server: the share delivered, the rung, or what is asked of a link."""
+    """A server reports a value about a session or about its own links; `kind` says which."""
 
     req_id: int
     kind: NoteKind
@@ -118,7 +138,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PlayerHint:
-    """A player's later word on what it can take."""
+    """A later report of a player on what it can receive."""
 
     req_id: int
     means: Means
@@ -126,9 +146,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerHint:
-    """A server's own word, as far as it is believed: whether it is in duress, what it takes a stream to get
-    and suggests at most (kB a second), and how long it holds answers back (us); `taken` is when it
-    measured."""
+    """A server's report on itself, after the checks of `ponddoor.hints`.
+
+    `taken` is when it measured and `duress` whether it is overloaded. `throughput_kb` is its estimate of a
+    stream's throughput and `suggested_kb` the highest rate that it suggests, in kB a second. `held` is how
+    long it delays its answers. None is not reported."""
 
     server: int
     taken: int
@@ -140,7 +162,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Started:
-    """The session plays."""
+    """A SETUP succeeded: the session plays."""
 
     req_id: int
     attempt: int
@@ -150,7 +172,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Ended:
-    """A SETUP or the session it began is over; `final` if nothing more is owed to the viewer."""
+    """A SETUP failed, or the session that it began has ended.
+
+    `final` is set if the viewer needs no answer any more. `report` holds the server's load report by field
+    name, as in Probed."""
 
     req_id: int
     attempt: int
@@ -163,14 +188,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ViewerLeft:
-    """The viewer is gone; nothing is owed."""
+    """The viewer has left; its request needs no answer any more."""
 
     req_id: int
 
 
 @dataclass(frozen=True, slots=True)
 class Probed:
-    """The result of a probe."""
+    """The result of a probe, with the server's load report by field name."""
 
     server: int
     lag: int
@@ -188,14 +213,14 @@
 
 @dataclass(frozen=True, slots=True)
 class TimerDue:
-    """A timer has come due."""
+    """The timer with this cookie has expired."""
 
     cookie: int
 
 
 @dataclass(frozen=True, slots=True)
 class NewTerms:
-    """The site is another one from here on, for who asks now; sessions that there are keep their terms."""
+    """The configuration has changed for requests that come from now on; existing sessions keep theirs."""
 
     facts: SiteFacts
 
--- a/ponddoor/interface/facts.py
+++ b/ponddoor/interface/facts.py
@@ -1,11 +1,16 @@
-"""What a front is told at its start."""
+"""A front's configuration, which its host passes to the decisions at the start and with each NewTerms.
+
+Names of classes and fields are written to traces. Times and durations are in microseconds, rates in kB a
+second.
+"""
 
 from dataclasses import dataclass
 from enum import Enum
 
 
 class Effect(Enum):
-    """Whether a set-up that may have run can be sent again."""
+    """Whether a SETUP that may have run can be sent again: always, only where the servers remember its key,
+    or never."""
 
     SAFE = "safe"
     KEYED = "keyed"
@@ -13,7 +18,7 @@
 
 
 class Scope(Enum):
-    """Which servers remember a keyed set-up together."""
+    """Which servers share their memory of the keys of SETUPs."""
 
     ALL = "all"
     ZONE = "zone"
@@ -21,7 +26,7 @@
 
 
 class Reporting(Enum):
-    """When servers report their load."""
+    """When servers report their load: in their answers to SETUPs, in answers to probes, or never."""
 
     INLINE = "inline"
     ON_PROBE = "on_probe"
@@ -30,7 +35,13 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceGroup:
-    """The terms of one service group."""
+    """The terms of one service group.
+
+    `start_target` is the time within which a session should start and `setup_timeout` the time after which a
+    SETUP counts as failed. `memory` is how long servers remember a key, for the servers in `scope`. `floor`
+    and `top` are its lowest and highest rung, `seats` the sessions that may hold one title at a time (0: no
+    limit). Viewers of one `live` title at one rung share a stream. `rate_factor` multiplies the rates of the
+    ladder."""
 
     name: str
     start_target: int
@@ -48,7 +59,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    """A tenant and the requests a second, over all fronts, that lie within its share."""
+    """A tenant, with the requests a second over all fronts that are within its quota, and its share."""
 
     name: str
     quota_per_s: float
@@ -57,7 +68,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Ladder:
-    """The rungs: the rate of each in kB a second and what each earns."""
+    """The rungs, with the rate and the utility of each.
+
+    `switch_cost_s` is the cost of a change of rung, in seconds of utility, and `short_cost` that of a stream
+    delivered short. `join` is the part of its rate that a further viewer of a shared live stream adds."""
 
     rate_kb: tuple[float, ...]
     utility: tuple[float, ...]
@@ -68,7 +82,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Plant:
-    """What is told of servers, links and racks."""
+    """The servers, links and racks, as configured.
+
+    `kb_per_weight` is a link's capacity per unit of its server's weight, `uplink_kb` that of each rack's
+    uplink. `streams` has the nominal streams of each kind of server. Servers refuse SETUPs when the load
+    ratio of their link is over `refuse_at` (0: they do not). Notes come `note_delay` late, every
+    `note_every`."""
 
     cells: int
     racks: int
@@ -80,18 +99,26 @@
     note_every: int
 
     def holds(self, cell: int, home: int, span: int) -> bool:
-        """Whether a title of this home and span lies in a cell."""
+        """Whether a cell holds titles of this home and span."""
         return (cell - home) % self.cells < span
 
     def racks_of(self, home: int, span: int) -> list[int]:
-        """The racks that hold such a title, its home's first."""
+        """The racks that hold titles of this home and span, that of the home cell first."""
         racks = self.racks or 1
-        return list(dict.fromkeys((home + at) % self.cells % racks for at in range(min(span, self.cells))))
+        return list(
+            dict.fromkeys((home + offset) % self.cells % racks for offset in range(min(span, self.cells)))
+        )
 
 
 @dataclass(frozen=True, slots=True)
 class Rules:
-    """The figures of the rules."""
+    """The parameters of the rules that SETUPs must keep, whatever the decisions prefer.
+
+    `cold` is how long a server warms up after its start; `cold_from` is the part of its pace with which it
+    begins. In any window of `fall`, a cold server may get `fall_multiple` times its pace at that warmth. A
+    SETUP may still go to a draining server within `drain_grace` of the news, and a viewer may be answered
+    `answer_grace` after its time. `spare_setups` plus `resend_ratio` times the requests within `resend_span`
+    is the budget for further SETUPs (None: no limit). `ask_every` is not used by the decisions."""
 
     cold: int
     cold_from: float
@@ -107,7 +134,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Permissions:
-    """What the site allows."""
+    """The mechanisms that the operator allows, and their limits.
+
+    `come_back` is whether a busy-reply may advise when to ask again, after `max_come_back` at most."""
 
     probes: bool
     messages: bool
@@ -120,7 +149,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Prices:
-    """Points of service taken off: for each session crossing zones, probe, full message and move."""
+    """Points that the score loses for each session that crosses zones, probe, message of full size and
+    move."""
 
     cross_zone: float
     probe: float
@@ -130,7 +160,12 @@
 
 @dataclass(frozen=True, slots=True)
 class SiteFacts:
-    """Everything a front is told at its start."""
+    """The whole configuration of one front.
+
+    `me` is its number among all `fronts`. `asked_discovery` is whether the list of servers comes only on
+    request and not by itself; `report_fields` are the fields of a load report. A request over its tenant's
+    quota has `over_share_utility` times its utility. `wall` is what to add to the front's own clock for the
+    Unix time, as of its start."""
 
     me: int
     fronts: int
@@ -147,4 +182,4 @@
     rules: Rules
     permissions: Permissions
     prices: Prices
-    wall: int = 0  # us to add to the front's own clock for the Unix clock, as of its start
+    wall: int = 0
--- a/ponddoor/interface/script.py
+++ b/ponddoor/interface/script.py
@@ -1,4 +1,7 @@
-"""A generator of the decisions: yields actions, is resumed with what became of them."""
+"""The type of the generators that the decisions are written as.
+
+A script yields actions and is resumed with the event that ended its wait, or with None: see
+`ponddoor.interface.actions`."""
 
 from collections.abc import Generator
 
--- a/ponddoor/runtime/__init__.py
+++ b/ponddoor/runtime/__init__.py
@@ -1,1 +1,1 @@
-"""The mechanical driver between a host and the decisions."""
+"""The driver that runs the decisions for a host; it takes no decisions itself."""
--- a/ponddoor/runtime/driver.py
+++ b/ponddoor/runtime/driver.py
@@ -1,4 +1,5 @@
-"""Runs the generators of one front: resumes each with what it waits for, and keeps their timers."""
+"""Runs the scripts (generators) of one front's decisions: resumes each with the event that it waits for, and
+keeps their timers."""
 
 from collections.abc import Iterable
 from typing import Protocol
@@ -20,7 +21,12 @@
 
 
 class Decisions(Protocol):
-    """What the driver needs of the module that decides. `facts` is looked at when a session is opened."""
+    """The interface of the decisions that the driver uses.
+
+    `facts` is the configuration; it may be replaced between two events and applies to sessions that begin
+    then. `clock` sets the time before each event, `observe` takes in an event before any script is resumed
+    with it. `session`, `handed_over` and `upkeep` return the scripts of a new session, of one that already
+    plays and of what runs for as long as the front does."""
 
     facts: SiteFacts
 
@@ -32,69 +38,74 @@
 
 
 class Driver:
-    """Feeds events to a front and collects its actions."""
+    """Passes events to a front's decisions and collects their actions."""
 
     def __init__(self, front: Decisions) -> None:
         self._front = front
-        self._sessions: dict[int, Script] = {}
+        self._sessions: dict[int, Script] = {}  # by req_id
+        # Scripts that wait for a time, and those that wait for a message of another front, by cookie, each with
+        # the req_id of its session. A script that waits for both stands in both.
         self._timers: dict[int, tuple[Script, int | None]] = {}
-        self._waits: dict[int, int] = {}
-        self._listening: dict[int, tuple[Script, int | None]] = {}
-        self._cookie = 0
-        self._begun = False
+        self._awaiting_message: dict[int, tuple[Script, int | None]] = {}
+        self._cookie_of_session: dict[int, int] = {}  # of sessions that wait, by req_id
+        self._last_cookie = 0
+        self._upkeep_started = False
 
     def handle(self, now: int, event: Event) -> list[Action]:
-        """Take one event in; returns what the front wants done, in order."""
-        out: list[Action] = []
+        """Process one event; returns the actions that the decisions request, in order.
+
+        The scripts of `upkeep` begin after the first event."""
+        actions: list[Action] = []
         self._front.clock(now)
         if isinstance(event, TimerDue):
-            self._wake(event.cookie, out)
-            return out
+            self._fire_timer(event.cookie, actions)
+            return actions
         if isinstance(event, NewTerms):
-            # Between two events, so no script sees it change under its feet; a session keeps what it began by
+            # Replaced between two events, so that no script sees it change while it runs.
             self._front.facts = event.facts
-            return out
+            return actions
         self._front.observe(event)
         match event:
             case SessionRequest():
-                self._begin(event.req_id, self._front.session(event), out)
+                self._start_session(event.req_id, self._front.session(event), actions)
             case HandedOver():
-                self._begin(event.request.req_id, self._front.handed_over(event), out)
+                self._start_session(event.request.req_id, self._front.handed_over(event), actions)
             case Started() | Ended() | ViewerLeft():
                 script = self._sessions.get(event.req_id)
                 if script is not None:
-                    self._take(self._waits.get(event.req_id, -1))
-                    self._resume(script, event.req_id, event, out)
+                    self._stop_waiting(self._cookie_of_session.get(event.req_id, -1))
+                    self._resume(script, event.req_id, event, actions)
             case PeerMessage():
-                for cookie in list(self._listening):
-                    self._resume(*self._take(cookie), event, out)
+                for cookie in list(self._awaiting_message):
+                    self._resume(*self._stop_waiting(cookie), event, actions)
             case _:
                 pass
-        if not self._begun:
-            self._begun = True
+        if not self._upkeep_started:
+            self._upkeep_started = True
             for script in self._front.upkeep():
-                self._resume(script, None, None, out)
-        return out
+                self._resume(script, None, None, actions)
+        return actions
 
-    def _begin(self, req_id: int, script: Script, out: list[Action]) -> None:
+    def _start_session(self, req_id: int, script: Script, actions: list[Action]) -> None:
         self._sessions[req_id] = script
-        self._resume(script, req_id, None, out)
+        self._resume(script, req_id, None, actions)
 
-    def _wake(self, cookie: int, out: list[Action]) -> None:
-        script, req_id = self._take(cookie)
-        self._resume(script, req_id, None, out)
+    def _fire_timer(self, cookie: int, actions: list[Action]) -> None:
+        script, req_id = self._stop_waiting(cookie)
+        self._resume(script, req_id, None, actions)
 
-    def _take(self, cookie: int) -> tuple[Script | None, int | None]:
-        """Whoever waits under a cookie waits no longer."""
-        listener = self._listening.pop(cookie, (None, None))
-        script, req_id = self._timers.pop(cookie, listener)
+    def _stop_waiting(self, cookie: int) -> tuple[Script | None, int | None]:
+        """Remove the wait with a cookie; returns its script and req_id, or None where there is none."""
+        waiter = self._awaiting_message.pop(cookie, (None, None))
+        script, req_id = self._timers.pop(cookie, waiter)
         if req_id is not None:
-            self._waits.pop(req_id, None)
+            self._cookie_of_session.pop(req_id, None)
         return script, req_id
 
     def _resume(
-        self, script: Script | None, req_id: int | None, value: ResumeValue, out: list[Action]
+        self, script: Script | None, req_id: int | None, value: ResumeValue, actions: list[Action]
     ) -> None:
+        """Run a script until it waits or ends, and collect its actions."""
         while script is not None:
             try:
                 action = script.send(value)
@@ -107,17 +118,17 @@
                 case Play():
                     return
                 case Wait(until) | WaitForPeerMessage(until):
-                    self._cookie = (self._cookie + 1) % 2**32
+                    self._last_cookie = (self._last_cookie + 1) % 2**32
                     if isinstance(action, WaitForPeerMessage):
-                        self._listening[self._cookie] = (script, req_id)
+                        self._awaiting_message[self._last_cookie] = (script, req_id)
                     if until is not None:
-                        self._timers[self._cookie] = (script, req_id)
-                        out.append(SetTimer(until, self._cookie))
+                        self._timers[self._last_cookie] = (script, req_id)
+                        actions.append(SetTimer(until, self._last_cookie))
                     if req_id is not None:
-                        self._waits[req_id] = self._cookie
+                        self._cookie_of_session[req_id] = self._last_cookie
                     return
                 case Setup():
-                    out.append(action)
+                    actions.append(action)
                     return
                 case _:
-                    out.append(action)
+                    actions.append(action)
