--- a/ponddoor/node/server_codec.py
+++ b/ponddoor/node/server_codec.py
@@ -15,10 +15,8 @@
 
 MAX_LINE_BYTES = 16_384
 _SESSION_ID = re.compile("[0-9a-f]{16}")
-# Codes that nodes send
-_GIVEN_UP = 16
-_ENDED_BY_VIEWER = 31
-_WITH_REPORT = 1
+# Codes that nodes send, the first two of ends, the third of a probe
+_GIVEN_UP, _ENDED_BY_VIEWER, _WITH_REPORT = 16, 31, 1
 _RESULT_OF_FAILED_SETUP = {34: ev.Result.FULL, 47: ev.Result.ERROR, 102: ev.Result.MOOT}
 _REASON_OF_ENDED_SESSION = {16: "over", 31: "viewer-gone"}
 _NOTE_KINDS = {
