--- a/ponddoor/node/descriptors.py
+++ b/ponddoor/node/descriptors.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 from typing import TextIO
 
-RESERVED_DESCRIPTORS = 2  # for reading the configuration and for a connection to the discovery service
+RESERVE_SIZE = 2  # for reading the configuration and for a connection to the discovery service
 RESOURCE_ERRNOS = frozenset((errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL))
 PAGE_KB = os.sysconf("SC_PAGE_SIZE") // 1024
 
@@ -23,9 +23,9 @@
     _held: list[int] = field(default_factory=list)
 
     def refill(self) -> None:
-        """Open descriptors up to RESERVED_DESCRIPTORS, or as many as the system allows."""
+        """Open descriptors up to RESERVE_SIZE, or as many as the system allows."""
         with contextlib.suppress(OSError):
-            while len(self._held) < RESERVED_DESCRIPTORS:
+            while len(self._held) < RESERVE_SIZE:
                 self._held.append(os.open(os.devnull, os.O_RDONLY | os.O_CLOEXEC))
 
     def release(self) -> bool:
--- a/tests/node/test_codecs.py
+++ b/tests/node/test_codecs.py
@@ -1,4 +1,5 @@
-"""The node's codecs: any split of the bytes gives the same, any bytes give messages or a named error."""
+"""The node's codecs: results do not depend on how the bytes are split, and any bytes give messages or a named
+error."""
 
 import contextlib
 import json
@@ -24,8 +25,8 @@
         message(16, "8"),
     ]
 )
-PIECES = st.lists(st.one_of(MESSAGES, st.binary(max_size=40)), max_size=6)
-CUTS = st.lists(st.integers(1, 200), min_size=1, max_size=30)
+STREAMS = st.lists(st.one_of(MESSAGES, st.binary(max_size=40)), max_size=6)
+PIECE_SIZES = st.lists(st.integers(1, 200), min_size=1, max_size=30)
 LINES = st.sampled_from(
     [
         b'{"t":"up","ref":"9b1f03aa5c7e2d41","f":{},"d":"x"}',
@@ -42,66 +43,67 @@
 )
 
 
-def cut(data: bytes, sizes: list[int]) -> list[bytes]:
-    pieces, at, turn = [], 0, 0
-    while at < len(data):
-        pieces.append(data[at : at + sizes[turn % len(sizes)]])
-        at, turn = at + sizes[turn % len(sizes)], turn + 1
+def split(data: bytes, sizes: list[int]) -> list[bytes]:
+    """Splits the data into pieces of these sizes, which are repeated in order."""
+    pieces, offset, count = [], 0, 0
+    while offset < len(data):
+        pieces.append(data[offset : offset + sizes[count % len(sizes)]])
+        offset, count = offset + sizes[count % len(sizes)], count + 1
     return pieces
 
 
-@given(PIECES, CUTS)
-def test_viewers_messages_in_any_pieces(pieces: list[bytes], sizes: list[int]) -> None:
-    data = b"".join(pieces)
-    whole, problem = viewer_codec.Reader().feed(data)
-    reader, found, why = viewer_codec.Reader(), list[viewer_codec.Message](), ""
-    for piece in cut(data, sizes):
-        got, why = reader.feed(piece)
-        found += got
-        if why:
+@given(STREAMS, PIECE_SIZES)
+def test_viewer_messages_are_decoded_however_they_are_split(parts: list[bytes], sizes: list[int]) -> None:
+    data = b"".join(parts)
+    whole, whole_problem = viewer_codec.Reader().feed(data)
+    reader, messages, problem = viewer_codec.Reader(), list[viewer_codec.Message](), ""
+    for piece in split(data, sizes):
+        decoded, problem = reader.feed(piece)
+        messages += decoded
+        if problem:
             break
         assert len(reader._rest) <= viewer_codec.MAX_MESSAGE_BYTES
-    assert (found, bool(why)) == (whole, bool(problem))
+    assert (messages, bool(problem)) == (whole, bool(whole_problem))
 
 
-@given(st.lists(st.one_of(LINES, st.binary(max_size=60)), max_size=6), CUTS)
-def test_lines_in_any_pieces(rows: list[bytes], sizes: list[int]) -> None:
+@given(st.lists(st.one_of(LINES, st.binary(max_size=60)), max_size=6), PIECE_SIZES)
+def test_lines_are_read_and_decoded_however_they_are_split(rows: list[bytes], sizes: list[int]) -> None:
     data = b"\n".join(rows)
     whole = LineReader(20_000).feed(data)
-    lines, found = LineReader(20_000), list[bytes]()
-    for piece in cut(data, sizes):
-        found += lines.feed(piece)
-    assert found == whole == data.split(b"\n")[:-1]
+    reader, lines = LineReader(20_000), list[bytes]()
+    for piece in split(data, sizes):
+        lines += reader.feed(piece)
+    assert lines == whole == data.split(b"\n")[:-1]
     for line in whole:
-        for read in (server_codec.decode_line, board_codec.decode_line):
+        for decode in (server_codec.decode_line, board_codec.decode_line):
             with contextlib.suppress(UnreadableError):
-                read(line)
+                decode(line)
 
 
 @pytest.mark.parametrize("pieces", [[b"x" * 101], [b"x" * 60, b"x" * 60], [b"x" * 101 + b"\n"]])
-def test_a_line_without_an_end_is_not_kept(pieces: list[bytes]) -> None:
-    lines = LineReader(100)
+def test_a_line_over_the_limit_is_rejected_and_not_buffered(pieces: list[bytes]) -> None:
+    reader = LineReader(100)
     with pytest.raises(UnreadableError):
         for piece in pieces:
-            lines.feed(piece)
-    assert not lines.partial
+            reader.feed(piece)
+    assert not reader.partial
 
 
-def test_what_a_viewer_asks() -> None:
-    (got,), why = viewer_codec.Reader().feed(set_up("1", at="s-00c41f7a", say="a\r\n\u00e9"))
-    assert isinstance(got, viewer_codec.SetupRequest) and not why
-    assert (got.sess, got.home, got.span, got.top, got.description) == (
+def test_a_setup_request_is_decoded() -> None:
+    (request,), problem = viewer_codec.Reader().feed(set_up("1", at="s-00c41f7a", say="a\r\n\u00e9"))
+    assert isinstance(request, viewer_codec.SetupRequest) and not problem
+    assert (request.sess, request.home, request.span, request.top, request.description) == (
         "0000000000abc001",
         0,
         4,
         2,
         "a\r\n\u00e9",
     )
-    assert board_codec.server_number(got.server) == 0x00C41F7A
+    assert board_codec.server_number(request.server) == 0x00C41F7A
 
 
-def test_an_event_of_the_board() -> None:
+def test_events_of_the_notice_board_are_decoded() -> None:
     pool = {"revision": 7, "complete": False, "members": [{"id": "s-00c41f7a", "phase": "terminated"}]}
-    got = board_codec.decode_line(json.dumps({"rev": 41, "pool": pool}).encode())
-    assert (got.version, got.since, got.servers[0].state) == (41, 40, "gone")
+    change = board_codec.decode_line(json.dumps({"rev": 41, "pool": pool}).encode())
+    assert (change.version, change.since, change.servers[0].state) == (41, 40, "gone")
     assert board_codec.decode_line(b"41").beat and board_codec.decode_line(b'{"rev":41}').beat
--- a/tests/node/test_work_per_turn.py
+++ b/tests/node/test_work_per_turn.py
@@ -1,4 +1,4 @@
-"""The node's shells: what a change of the list, a connect and a look cost does not grow with servers."""
+"""The cost of a list change, a connect and a tick of a node does not grow with the number of servers."""
 
 import asyncio
 from collections.abc import Callable, Coroutine
@@ -17,13 +17,13 @@
 from tests.front.conftest import site_text
 from tests.many_servers.fleet import SECOND, DrivenFront, facts, steps_of
 
-COUNTS = (200, 3200, 12_800)
-GROWTH = 1.5
+SERVER_COUNTS = (200, 3200, 12_800)
+MAX_GROWTH = 1.5
 CHANGED_ROWS = 20
 
 
-class Shell:
-    """A node's servers and list without its sockets."""
+class ServerSide:
+    """The server list and the links of a node, without sockets."""
 
     def __init__(self, servers: int) -> None:
         driven = DrivenFront(facts(servers), servers)
@@ -32,9 +32,9 @@
         pump = Pump(engine, lambda effect: None)
         self.servers = Servers(engine, pump.apply, ("g",), SECOND // 4)
         self.entries = [entry(number, driven.site.plant.cells) for number in range(1, servers + 1)]
-        self.tell(self.entries, None)
+        self.update_list(self.entries, None)
 
-    def tell(self, entries: list[Entry], since: int | None) -> None:
+    def update_list(self, entries: list[Entry], since: int | None) -> None:
         change = self.roster.take(ListMessage("l", self.roster.version + 1, entries, since))
         assert change is not None
         self.servers.apply_list_change(change)
@@ -44,76 +44,76 @@
     return Entry(number, f"127.0.0.1:{1 + number % 60_000}", "north", "box", number % cells, state, 1.0)
 
 
-def test_connections_to_servers_that_are_all_needed_are_bounded() -> None:
+def test_connections_that_are_all_needed_are_limited() -> None:
     async def run() -> None:
-        shell = Shell(200)
-        shell.servers.max_connections = 20
-        for link in shell.servers.links.values():
+        server_side = ServerSide(200)
+        server_side.servers.max_connections = 20
+        for link in server_side.servers.links.values():
             link.connect()
-        assert len(shell.servers.open_links) == 20 + MAX_NEEDED_OVER_LIMIT
-        assert shell.servers.counts["no-room"] == 200 - 20 - MAX_NEEDED_OVER_LIMIT
+        assert len(server_side.servers.open_links) == 20 + MAX_NEEDED_OVER_LIMIT
+        assert server_side.servers.counts["no-room"] == 200 - 20 - MAX_NEEDED_OVER_LIMIT
 
     asyncio.run(run())
 
 
-def test_sessions_at_many_servers_that_fall_silent_together_end_in_bounded_turns() -> None:
+def test_few_sessions_end_per_turn_when_many_servers_fall_silent_at_once() -> None:
     async def run() -> None:
-        shell, sessions, began_at = Shell(200), 2000, clock()
-        engine = shell.servers.engine
+        server_side, sessions, started_at = ServerSide(200), 2000, clock()
+        engine = server_side.servers.engine
         for number in range(sessions):
             server = 1 + number % 200
-            shell.servers.apply(
+            server_side.servers.apply(
                 lambda now, number=number, server=server: engine.handed_over(  # type: ignore[misc]
                     now, f"{number:016x}", Ask("t", 0, 0, 0, 8, 9, 3 * SECOND), server
                 )
             )
-            shell.servers.mark_used(shell.servers.links[server])
-        for look in range(0, SILENT_LIMIT + SECOND // 4, SECOND // 4):
-            shell.servers.tick(began_at + look, 60 * SECOND)
+            server_side.servers.mark_used(server_side.servers.links[server])
+        for elapsed in range(0, SILENT_LIMIT + SECOND // 4, SECOND // 4):
+            server_side.servers.tick(started_at + elapsed, 60 * SECOND)
         assert engine.held == sessions
-        shell.servers.tick(began_at + SILENT_LIMIT + SECOND // 2, 60 * SECOND)
+        server_side.servers.tick(started_at + SILENT_LIMIT + SECOND // 2, 60 * SECOND)
         assert engine.held >= sessions - MAX_SESSIONS_ENDED_PER_TURN
         while engine.held:
-            before = engine.held
+            held_before = engine.held
             await asyncio.sleep(0)
-            assert before - MAX_SESSIONS_ENDED_PER_TURN <= engine.held < before
-        for link in shell.servers.links.values():
+            assert held_before - MAX_SESSIONS_ENDED_PER_TURN <= engine.held < held_before
+        for link in server_side.servers.links.values():
             link.close()
 
     asyncio.run(run())
 
 
-def list_change(shell: Shell) -> int:
-    """Twenty rows of the list change their state."""
-    changed = [entry(number, shell.roster.cells, "draining") for number in range(1, CHANGED_ROWS + 1)]
-    return steps_of(lambda: shell.tell(changed, shell.roster.version))
+def list_change(server_side: ServerSide) -> int:
+    """The steps of a list change in which CHANGED_ROWS servers start to drain."""
+    changed = [entry(number, server_side.roster.cells, "draining") for number in range(1, CHANGED_ROWS + 1)]
+    return steps_of(lambda: server_side.update_list(changed, server_side.roster.version))
 
 
-def tick(shell: Shell) -> int:
-    """The look that comes each quarter of a second."""
-    return steps_of(lambda: shell.servers.tick(clock(), 20 * SECOND))
+def tick(server_side: ServerSide) -> int:
+    """The steps of the tick, which runs every quarter of a second."""
+    return steps_of(lambda: server_side.servers.tick(clock(), 20 * SECOND))
 
 
-def connect(shell: Shell) -> int:
-    """A connection to one server begins."""
-    return steps_of(shell.servers.links[7].connect)
+def connect(server_side: ServerSide) -> int:
+    """The steps of starting to connect to one server."""
+    return steps_of(server_side.servers.links[7].connect)
 
 
-def enable_setups(shell: Shell) -> int:
-    """SETUPs may go out."""
-    return steps_of(shell.servers.enable_setups)
+def enable_setups(server_side: ServerSide) -> int:
+    """The steps of allowing SETUPs."""
+    return steps_of(server_side.servers.enable_setups)
 
 
 @pytest.mark.parametrize(
     "event", [list_change, tick, connect, enable_setups], ids=lambda event: event.__name__
 )
-def test_work_of_the_shell_does_not_grow_with_servers(event: Callable[[Shell], int]) -> None:
+def test_work_does_not_grow_with_the_number_of_servers(event: Callable[[ServerSide], int]) -> None:
     steps = {}
-    for count in COUNTS:
+    for count in SERVER_COUNTS:
 
         async def run(count: int = count) -> int:
-            return event(Shell(count))
+            return event(ServerSide(count))
 
-        play: Coroutine[Any, Any, int] = run()
-        steps[count] = asyncio.run(play)
-    assert max(steps.values()) <= GROWTH * steps[COUNTS[0]], steps
+        measured: Coroutine[Any, Any, int] = run()
+        steps[count] = asyncio.run(measured)
+    assert max(steps.values()) <= MAX_GROWTH * steps[SERVER_COUNTS[0]], steps
--- a/tests/test_simhost.py
+++ b/tests/test_simhost.py
@@ -1,4 +1,4 @@
-"""The codec and the host, with frames of our own."""
+"""The simulator adapter, with frames that these tests encode themselves."""
 
 import io
 import json
@@ -69,18 +69,19 @@
 SERVER = 0xABCDEF01
 
 
-def record(code: int, form: str = "", *values: Any) -> bytes:
-    body = struct.pack(">" + form, *values)
+def record(code: int, layout: str = "", *values: Any) -> bytes:
+    body = struct.pack(">" + layout, *values)
     return struct.pack(">HI", code, len(body)) + body
 
 
-def batch(clock: float, *records: bytes) -> bytes:
+def batch(clock_ms: float, *records: bytes) -> bytes:
     body = b"".join(records)
-    return struct.pack(">IdI", len(body), clock, len(records)) + body
+    return struct.pack(">IdI", len(body), clock_ms, len(records)) + body
 
 
-def boot(facts: dict[str, Any]) -> list[bytes]:
-    text = json.dumps(facts).encode()
+def boot(settings: dict[str, Any]) -> list[bytes]:
+    """The records that start instance 4 with these settings and a list of one server."""
+    text = json.dumps(settings).encode()
     row = struct.pack(">IHHHBfd", SERVER, 0, 0, 1, 2, 5.0, 0.0)
     return [
         record(10, "I", 4),
@@ -90,12 +91,13 @@
     ]
 
 
-def ingress(call: int) -> bytes:
-    return record(4, "IHHQQddfffB", call, 0, 0, 9, 8, 4000.0, 0.0, 1.0, 1.0, 1.0, 0)
+def request(req_id: int) -> bytes:
+    return record(4, "IHHQQddfffB", req_id, 0, 0, 9, 8, 4000.0, 0.0, 1.0, 1.0, 1.0, 0)
 
 
 def replies(*batches: bytes) -> list[list[tuple[int, bytes]]]:
-    sink, out = io.BytesIO(), []
+    """The records of each reply, as (code, body)."""
+    sink, decoded = io.BytesIO(), []
     serve(io.BytesIO(b"".join(batches)), sink)
     data = sink.getvalue()
     while data:
@@ -105,72 +107,76 @@
             code, length = struct.unpack_from(">HI", frame)
             records.append((code, frame[6 : 6 + length]))
             frame = frame[6 + length :]
-        out.append(records)
-    return out
+        decoded.append(records)
+    return decoded
 
 
-def test_session_from_frame_to_frame() -> None:
-    empty, begun, asked = replies(
-        batch(0.0), batch(20000.0, *boot(FACTS)), batch(20010.0, record(10, "I", 4), ingress(0xFFFFFFF0))
+def test_a_request_is_answered_with_a_setup() -> None:
+    empty, booted, requested = replies(
+        batch(0.0), batch(20000.0, *boot(FACTS)), batch(20010.0, record(10, "I", 4), request(0xFFFFFFF0))
     )
-    assert empty == [] and all(code in (15, 5) for code, _ in begun)
-    assert [code for code, _ in asked] == [15, 13, 1]
-    assert asked[0][1] == struct.pack(">I", 4)
-    assert asked[1][1] == struct.pack(">IB", 0xFFFFFFF0, 1)
-    assert struct.unpack(">IdI", asked[2][1]) == (0xFFFFFFF0, 360.0, SERVER)
+    assert empty == [] and all(code in (15, 5) for code, _ in booted)
+    assert [code for code, _ in requested] == [15, 13, 1]
+    assert requested[0][1] == struct.pack(">I", 4)
+    assert requested[1][1] == struct.pack(">IB", 0xFFFFFFF0, 1)
+    assert struct.unpack(">IdI", requested[2][1]) == (0xFFFFFFF0, 360.0, SERVER)
 
 
-def test_killed_then_booted_in_one_batch_forgets() -> None:
-    again = [record(10, "I", 4), record(11), *boot(FACTS)[1:]]
+def test_an_instance_killed_and_booted_in_one_batch_has_no_earlier_sessions() -> None:
+    reboot = [record(10, "I", 4), record(11), *boot(FACTS)[1:]]
     ended = record(9, "IIHHBdB", 7, SERVER, 301, 0, 0, 5.0, 0)
-    out = replies(
-        batch(0.0, *boot(FACTS), ingress(7)), batch(10.0, *again), batch(20.0, record(10, "I", 4), ended)
+    decoded = replies(
+        batch(0.0, *boot(FACTS), request(7)), batch(10.0, *reboot), batch(20.0, record(10, "I", 4), ended)
     )
-    assert out[2] == []
+    assert decoded[2] == []
 
 
-def test_list_number_used_again() -> None:
+def test_a_list_number_that_is_used_again_replaces_the_list() -> None:
     row = struct.pack(">IHHHBfd", 5, 0, 0, 1, 2, 50.0, 0.0)
-    second = [record(12, f"BI{len(row)}s", 3, 1, row), record(10, "I", 4), record(13, "BQB", 0, 2, 3)]
-    out = replies(batch(0.0, *boot(FACTS)), batch(10.0, *second), batch(20.0, record(10, "I", 4), ingress(7)))
-    assert out[2][-1][1][-4:] == struct.pack(">I", 5)
+    second_list = [record(12, f"BI{len(row)}s", 3, 1, row), record(10, "I", 4), record(13, "BQB", 0, 2, 3)]
+    decoded = replies(
+        batch(0.0, *boot(FACTS)), batch(10.0, *second_list), batch(20.0, record(10, "I", 4), request(7))
+    )
+    assert decoded[2][-1][1][-4:] == struct.pack(">I", 5)
 
 
-def test_exception_in_the_decisions_becomes_bail_out() -> None:
+def test_an_exception_in_the_decisions_is_reported_on_the_wire() -> None:
     unknown_group = record(4, "IHHQQddfffB", 7, 99, 0, 9, 8, 4000.0, 0.0, 1.0, 1.0, 1.0, 0)
-    out = replies(batch(0.0, *boot(FACTS)), batch(10.0, record(10, "I", 4), unknown_group))
-    assert [code for code, _ in out[1]] == [15, 10] and b"IndexError" in out[1][1][1]
+    decoded = replies(batch(0.0, *boot(FACTS)), batch(10.0, record(10, "I", 4), unknown_group))
+    assert [code for code, _ in decoded[1]] == [15, 10] and b"IndexError" in decoded[1][1][1]
 
 
-BROKEN = {
-    "a header cut short": b"\0\0",
-    "a batch cut short": batch(0.0, record(10, "I", 4))[:-1],
+MALFORMED = {
+    "a truncated header": b"\0\0",
+    "a truncated batch": batch(0.0, record(10, "I", 4))[:-1],
     "an unknown code": batch(0.0, record(10, "I", 4), record(99)),
-    "a field cut short": batch(0.0, record(10, "H", 4)),
-    "a record over the end": struct.pack(">IdI", 6, 0.0, 1) + struct.pack(">HI", 10, 4),
-    "bytes left over": struct.pack(">IdI", 3, 0.0, 0) + b"abc",
-    "settings without servers' places": batch(0.0, *boot({**FACTS, "specifics": {}})),
-    "an unknown way of reporting": batch(0.0, *boot({**FACTS, "reporting": {"fields": [], "how": "?"}})),
-    "a top rung that is no number": batch(
+    "a truncated field": batch(0.0, record(10, "H", 4)),
+    "a record longer than its batch": struct.pack(">IdI", 6, 0.0, 1) + struct.pack(">HI", 10, 4),
+    "bytes after the last record": struct.pack(">IdI", 3, 0.0, 0) + b"abc",
+    "settings without specifics": batch(0.0, *boot({**FACTS, "specifics": {}})),
+    "an unknown kind of reporting": batch(0.0, *boot({**FACTS, "reporting": {"fields": [], "how": "?"}})),
+    "a top rung that is not a number": batch(
         0.0, *boot(FACTS), record(4, "IHHQQddfffB", 7, 0, 0, 9, 8, 4000.0, 0.0, 1.0, 1.0, float("nan"), 0)
     ),
     "an event before any instance": batch(0.0, record(1, "I", 1)),
-    "an event for one that does not run": batch(0.0, record(10, "I", 1), record(1, "I", 1)),
+    "an event for an instance that is not running": batch(0.0, record(10, "I", 1), record(1, "I", 1)),
 }
 
 
-@pytest.mark.parametrize("data", BROKEN.values(), ids=BROKEN.keys())
-def test_malformed_input(data: bytes) -> None:
+@pytest.mark.parametrize("data", MALFORMED.values(), ids=MALFORMED.keys())
+def test_malformed_input_is_rejected(data: bytes) -> None:
     with pytest.raises(MalformedError):
         serve(io.BytesIO(data), io.BytesIO())
 
 
-def test_malformed_input_ends_the_program_with_one_plain_line() -> None:
-    done = subprocess.run(
+def test_malformed_input_ends_the_program_with_one_error_line() -> None:
+    process = subprocess.run(
         [sys.executable, "-m", "ponddoor.simhost"],
-        input=BROKEN["an unknown code"],
+        input=MALFORMED["an unknown code"],
         capture_output=True,
         check=False,
     )
-    assert done.returncode == 2
-    assert done.stderr.decode().splitlines() == ["ponddoor.simhost: malformed input: unknown event code 99"]
+    assert process.returncode == 2
+    assert process.stderr.decode().splitlines() == [
+        "ponddoor.simhost: malformed input: unknown event code 99"
+    ]
