--- a/ponddoor/capacity/loop_measure.py
+++ b/ponddoor/capacity/loop_measure.py
@@ -94,11 +94,11 @@
     filled = (time.thread_time_ns() - begun) / 1e9
     memory = resident() - empty
     rounds = one.rounds()
-    held = sum(sess.began is not None for sess in one.front.sessions.values())
+    held = sum(sess.playing_since is not None for sess in one.front.sessions.values())
     name = "title" if under == "one-title" else "resize"
     return [
         Figure(f"{name}.stretch", max(rounds), "s"),
-        Figure(f"{name}.cpu", sum(rounds) / ROUNDS / (one.front.resize_every / SECOND), "core"),
+        Figure(f"{name}.cpu", sum(rounds) / ROUNDS / (one.front.resize_period_us / SECOND), "core"),
         Figure(f"{name}.memory", memory, "B"),
         Figure(f"{name}.held", held, "1"),
         Figure(f"{name}.arrival", filled / size, "s"),
--- a/ponddoor/capacity/virtual_measure.py
+++ b/ponddoor/capacity/virtual_measure.py
@@ -13,15 +13,15 @@
 from typing import Any
 
 from ponddoor.decide import (
-    ASK_WAIT,
-    FEW,
+    ANSWER_TIMEOUT_US,
+    DEAD_AFTER_ROUNDS,
+    FIRST_SETUP_BACKOFF_US,
+    FULL_MESH_FRONTS,
+    GOSSIP_PERIOD_TARGETS,
     KEEPERS,
-    KNOWN,
-    LONGEST,
-    REACH,
-    REST,
-    SILENT,
-    TELL_EVERY,
+    MAX_BACKOFF_DOUBLINGS,
+    MIN_KNOWN_RATIO,
+    MIN_REACH_RATIO,
     Front,
 )  # fmt: skip
 from ponddoor.fleet.presence import Timing
@@ -41,7 +41,7 @@
 KINDS = ("changes", "all", "ours", "holders", "answer", "begun", "lending", "ping", "ack", "via", "ask-news",
          "news", "brief", "saw")  # fmt: skip
 TARGET = SECOND // 2  # the start target, of which two are a period of presence
-PERIOD = TELL_EVERY * TARGET
+PERIOD = GOSSIP_PERIOD_TARGETS * TARGET
 LATE = 10_000  # us: a word takes so long at most
 LENGTH = 60 * SECOND  # a session plays so long on average
 SPAN = 4  # cells that hold a title
@@ -114,8 +114,17 @@
     """What tells who lives, of one front, without decisions."""
 
     def __init__(self, told: SiteFacts, now: int) -> None:
-        timing = Timing(PERIOD, ASK_WAIT, SILENT * PERIOD, 2 * SILENT * PERIOD)
-        terms = Terms(KEEPERS, FEW, timing, REST << LONGEST, SILENT * PERIOD, KNOWN, REACH, 2)
+        timing = Timing(PERIOD, ANSWER_TIMEOUT_US, DEAD_AFTER_ROUNDS * PERIOD, 2 * DEAD_AFTER_ROUNDS * PERIOD)
+        terms = Terms(
+            KEEPERS,
+            FULL_MESH_FRONTS,
+            timing,
+            FIRST_SETUP_BACKOFF_US << MAX_BACKOFF_DOUBLINGS,
+            DEAD_AFTER_ROUNDS * PERIOD,
+            MIN_KNOWN_RATIO,
+            MIN_REACH_RATIO,
+            2,
+        )
         self.fleet = Fleet(told, now, terms, 1)
         self.script: Script = self.fleet.talking(lambda server: None, lambda keeper: [])
         self.until = 0
--- a/ponddoor/front/acting.py
+++ b/ponddoor/front/acting.py
@@ -18,12 +18,12 @@
 def looking(front: Front, now: int) -> Iterator[None]:
     """Guards against a look that changes what is decided: what reading moves is put back behind it."""
     fleet = front.fleet
-    kept = front.now, dict(fleet.whole_since), dict(fleet.looked), front.reckoned, front.usual_load
+    kept = front.now, dict(fleet.whole_since), dict(fleet.looked), front.mean_load_at, front.mean_load
     front.clock(now)
     try:
         yield
     finally:
-        now, fleet.whole_since, fleet.looked, front.reckoned, front.usual_load = kept
+        now, fleet.whole_since, fleet.looked, front.mean_load_at, front.mean_load = kept
         front.clock(now)
 
 
@@ -32,15 +32,15 @@
     these ask, that all ask and that are idle, and for how many seconds it rests."""
     with looking(front, now):
         rows = [s for s in front.servers.values() if s.row.state is not ServerState.GONE]
-        idle = front.idles(rows, 1.0)
+        idle = front.idle_by_server(rows, 1.0)
         return [
             (
                 f"{s.row.server:08x}",
                 len(s.sessions),
-                round(s.own()),
-                round(front.asked(s)),
+                round(s.own_demand()),
+                round(front.demand(s)),
                 round(idle[s.row.server]),
-                max(front.rested_until(s) - now, 0) / 1e6,
+                max(front.setup_backoff_until(s) - now, 0) / 1e6,
             )
             for s in rows
         ]
@@ -88,11 +88,11 @@
         for number, server in front.servers.items():
             if server.row.state is ServerState.GONE:
                 continue
-            if front.rested_until(server) > now:
+            if front.setup_backoff_until(server) > now:
                 acting.add(f"rest {number}")
-            if front.condemned(server):
+            if front.is_avoided(server):
                 acting.add(f"avoid {number}")
-            if now - server.started() < front.facts.rules.cold or server.lost is not None:
+            if now - server.process_started_at() < front.facts.rules.cold or server.seen_down_at is not None:
                 acting.add(f"pace {number}")
         return acting
 
--- a/ponddoor/front/process.py
+++ b/ponddoor/front/process.py
@@ -463,9 +463,9 @@
             front, now = self.decisions, clock()
             with looking(front, now):
                 rows = [s for s in front.servers.values() if s.row.state is not ServerState.GONE]
-                idle = {str(number): kb for number, kb in front.idles(rows, 1.0).items()}
-                rests = {str(s.row.server): float(front.rested_until(s) > now) for s in rows}
-                avoided = {str(s.row.server): float(front.condemned(s)) for s in rows}
+                idle = {str(number): kb for number, kb in front.idle_by_server(rows, 1.0).items()}
+                rests = {str(s.row.server): float(front.setup_backoff_until(s) > now) for s in rows}
+                avoided = {str(s.row.server): float(front.is_avoided(s)) for s in rows}
                 fleet = list(self._fleet_samples(front, now)) if front.fleet.talks else []
             yield from fleet
             yield "gauge", "avoided", "Whether a server is avoided by others' evidence.", "server", avoided
--- a/ponddoor/rehearse/hollow_run.py
+++ b/ponddoor/rehearse/hollow_run.py
@@ -17,7 +17,7 @@
 
 from ponddoor.audit.records import read
 from ponddoor.capacity.records import Record
-from ponddoor.decide import TELL_EVERY
+from ponddoor.decide import GOSSIP_PERIOD_TARGETS
 from ponddoor.front.pump import clock
 from ponddoor.rehearse import hollow_table as tables
 from ponddoor.rehearse.day import SECOND, Trouble
@@ -471,7 +471,9 @@
         hollow = [span for span in made if span.front >= self.day.fronts]
         self.sides = (real, hollow)
         lived = frozenset(range(self._all)) - self.struck - self.cut
-        period = TELL_EVERY * min(group.start_target for group in self.day.site.facts.groups) / SECOND
+        period = (
+            GOSSIP_PERIOD_TARGETS * min(group.start_target for group in self.day.site.facts.groups) / SECOND
+        )
         learned = tables.knowledge(self.events, self.changes, lived, self.day.fronts, self.end)
         self.found = tables.agreement(real, hollow, learned, period)
         for name, side in (("real", real), ("hollow", hollow)):
--- a/ponddoor/server_table.py
+++ b/ponddoor/server_table.py
@@ -12,7 +12,7 @@
 from ponddoor.interface import events as ev
 from ponddoor.interface.events import ServerState
 from ponddoor.interface.facts import Plant
-from ponddoor.state import Pipe, Server
+from ponddoor.state import LinkState, Server
 
 MOST_GONE = 1024  # servers that have gone and are still known
 LEAST_REPORT_ENDS = 64  # ends of reports that are kept before those of replaced reports are dropped
@@ -49,7 +49,7 @@
 
     def add(self, row: ev.ServerRow) -> Server:
         """A server that is named for the first time; `put_row` follows."""
-        server = self.all[row.server] = Server(row, Pipe(0.0), order=self._next_order)
+        server = self.all[row.server] = Server(row, LinkState(0.0), order=self._next_order)
         self._next_order += 1
         self._index(server)
         return server
@@ -62,8 +62,8 @@
             self._index(server)
         server.row = row
         kb = row.weight * self.plant.kb_per_weight
-        self._kb += _fixed(kb) - _fixed(server.link.kb)
-        server.link.kb = kb
+        self._kb += _fixed(kb) - _fixed(server.link.capacity_kb)
+        server.link.capacity_kb = kb
         if row.started_at:
             self.may_be_cold(server)
         if row.state is ServerState.GONE:
@@ -106,7 +106,7 @@
     def _forget(self, number: int) -> None:
         del self._gone[number]
         server = self.all.pop(number)
-        self._kb -= _fixed(server.link.kb)
+        self._kb -= _fixed(server.link.capacity_kb)
         self.untold.pop(number, None)
         self._recent.pop(number, None)
         self._drop_report(number)
@@ -144,7 +144,7 @@
 
     def use(self, server: Server) -> None:
         """Its sessions, or their rungs, have changed."""
-        server.changed()
+        server.invalidate_demand()
         self.untold[server.row.server] = server
         if server.sessions:
             self._in_use[server.row.server] = server
@@ -170,7 +170,7 @@
 
     def cold(self, now: int, lasts: int) -> list[Server]:
         """The ready servers that started less than `lasts` ago."""
-        for number in [n for n, server in self._recent.items() if now - server.started() >= lasts]:
+        for number in [n for n, server in self._recent.items() if now - server.process_started_at() >= lasts]:
             del self._recent[number]
         return [server for server in self._recent.values() if server.row.state is ServerState.READY]
 
@@ -185,8 +185,8 @@
         """The reports of a server's link have changed."""
         number = server.row.server
         self._drop_report(number)
-        if server.link.loads:
-            taken, ratio = self._reports[number] = server.link.loads[-1]
+        if server.link.reports:
+            taken, ratio = self._reports[number] = server.link.reports[-1]
             self._ratios += _fixed(ratio)
             heapq.heappush(self._report_ends, (taken, number))
             if len(self._report_ends) > 2 * len(self._reports) + LEAST_REPORT_ENDS:
--- a/tests/fleet/test_cold_sum.py
+++ b/tests/fleet/test_cold_sum.py
@@ -114,7 +114,7 @@
             if self.told:
                 self.feed(me, self.row(self.now))
             elif self.lost:  # its connection broke: all see it, none is told more
-                self.front(me).servers[SERVER].lost = self.now
+                self.front(me).servers[SERVER].seen_down_at = self.now
 
     def front(self, me: int) -> Front:
         front = self.drivers[me]._front
@@ -174,7 +174,9 @@
 def test_without_turns_the_sum_does_not_hold(case: str, monkeypatch: pytest.MonkeyPatch) -> None:
     """Each front spaced by its share alone, the first send free: what a lost server got before."""
     monkeypatch.setattr(
-        Front, "paced_until", lambda self, server: (server.sent + self.slot(server) * self.facts.fronts)
+        Front,
+        "paced_until",
+        lambda self, server: (server.last_setup_at + self.cold_slot_us(server) * self.facts.fronts),
     )
     over = []
     for seed in (1, 2, 3):
--- a/tests/fleet/test_fleet.py
+++ b/tests/fleet/test_fleet.py
@@ -41,11 +41,11 @@
 """
 UNTOLD = """
 from ponddoor.decide import Front
-Front.warm = lambda self, server: False
+Front.is_warm = lambda self, server: False
 """
 ALONE = """
 from ponddoor.decide import Front
-Front.condemned = lambda self, server: False
+Front.is_avoided = lambda self, server: False
 """
 SURE = """
 from ponddoor.fleet.presence import Hears, Presence
--- a/tests/front/test_audit.py
+++ b/tests/front/test_audit.py
@@ -41,9 +41,9 @@
 
 
 class DeafToDrains(Front):
-    def learn_list(self, news: ev.ServerNews) -> None:
+    def record_server_news(self, news: ev.ServerNews) -> None:
         rows = tuple(as_ready(row) for row in news.rows)
-        super().learn_list(ev.ServerNews(news.scope, rows))
+        super().record_server_news(ev.ServerNews(news.scope, rows))
 
 
 def as_ready(row: ev.ServerRow) -> ev.ServerRow:
@@ -56,18 +56,18 @@
     def paced_until(self, server: Server) -> int:
         return 0
 
-    def rested_until(self, server: Server) -> int:
+    def setup_backoff_until(self, server: Server) -> int:
         return 0
 
 
 class ForgetsSeats(Front):
-    def open_to(self, sess: Sess, paced: bool = True) -> list[Server]:
-        self.seats.clear()
-        self.seats[sess.seat()] = -100
-        return super().open_to(sess, paced)
+    def eligible_holders(self, sess: Sess, paced: bool = True) -> list[Server]:
+        self.seats_in_use.clear()
+        self.seats_in_use[sess.seat_key()] = -100
+        return super().eligible_holders(sess, paced)
 
     def release(self, sess: Sess) -> None:
-        self.seats.setdefault(sess.seat(), 0)
+        self.seats_in_use.setdefault(sess.seat_key(), 0)
         super().release(sess)
 
 
@@ -82,7 +82,7 @@
 
 
 class Spends(Front):
-    def spent(self, sess: Sess) -> bool:
+    def retries_exhausted(self, sess: Sess) -> bool:
         return len(sess.attempts) >= self.facts.permissions.max_attempts
 
 
@@ -134,7 +134,7 @@
 
 
 class Resends(Front):
-    def may_repeat(self, sess: Sess, server: Server) -> bool:
+    def may_resend(self, sess: Sess, server: Server) -> bool:
         return True
 
 
--- a/tests/many_servers/test_server_table.py
+++ b/tests/many_servers/test_server_table.py
@@ -60,13 +60,13 @@
     @rule(number=numbers, taken=st.integers(0, 500), ratio=st.floats(0.0, 3.0))
     def report(self, number: int, taken: int, ratio: float) -> None:
         if (server := self.server(number)) is not None:
-            server.link.load(max(self.now - taken, 0), ratio)
+            server.link.add_report(max(self.now - taken, 0), ratio)
             self.table.reported(server)
 
     @rule(number=numbers)
     def forget_reports(self, number: int) -> None:
         if (server := self.server(number)) is not None:
-            server.link.loads = []
+            server.link.reports = []
             self.table.reported(server)
 
     @rule(passed=st.integers(1, 400))
@@ -94,12 +94,12 @@
     @invariant()
     def sums_are_the_plain_sums(self) -> None:
         every, since = list(self.table.all.values()), self.now - 300
-        loads = [s.link.loads[-1][1] for s in every if s.link.loads and s.link.loads[-1][0] > since]
+        loads = [s.link.reports[-1][1] for s in every if s.link.reports and s.link.reports[-1][0] > since]
         mean = self.table.mean_report(since)
         assert mean is None if not loads else mean == pytest.approx(sum(loads) / len(loads))
-        assert self.table.kb == pytest.approx(sum(s.link.kb for s in every))
+        assert self.table.kb == pytest.approx(sum(s.link.capacity_kb for s in every))
         cold = {s.row.server for s in self.table.cold(self.now, COLD)}
-        told = {s.row.server for s in every if s.row.started_at and self.now - s.started() < COLD}
+        told = {s.row.server for s in every if s.row.started_at and self.now - s.process_started_at() < COLD}
         assert cold >= {s for s in told if self.table.all[s].row.state is ServerState.READY}
 
 
--- a/tests/node/test_crossings.py
+++ b/tests/node/test_crossings.py
@@ -238,7 +238,7 @@
         for _ in range(20):
             await asyncio.sleep(0)
         assert words._Kind.HOLDERS not in said
-        assert not world.node.front.arrivals.kept and world.node.viewers.counts["taken-back"] == 30 + 58
+        assert not world.node.front.arrivals.samples and world.node.viewers.counts["taken-back"] == 30 + 58
         good.send(set_up("99"))
         assert await setups(world, "99") == [sess("99")]
         assert words._Kind.HOLDERS in said
