--- a/ponddoor/decide.py
+++ b/ponddoor/decide.py
@@ -120,9 +120,9 @@
             self.fleet.group_of(rack, len(self.uplinks)) for rack in range(len(self.uplinks))
         ]
         self.last_rack_of_group = {group: rack for rack, group in enumerate(self.group_by_rack)}
-        self.last_message: tuple[bytes, words.Word | None] = b"", None  # the last that came
+        self.last_message: tuple[bytes, words.Message | None] = b"", None  # the last that came
         self.rack_loads: dict[int, RackLoad] = {}
-        self.rack_load_ttl_us = ANSWER_TIMEOUT_US // 4 if self.fleet.asks else 0
+        self.rack_load_ttl_us = ANSWER_TIMEOUT_US // 4 if self.fleet.queries_owners else 0
         self.idle_share_ratios = [max(part, 1 / facts.fronts) for part in IDLE_SHARE_RATIOS]
         self.probes_report_load = facts.permissions.probes and facts.reporting is Reporting.ON_PROBE
 
@@ -143,9 +143,9 @@
 
         Our own evidence goes first where it is newer, one front's word condemns nothing (`View.bad`). It may
         harm where two fronts are cut off from a server: until another tells, or while evidence counts."""
-        view = self.fleet.evidence.view(self.now, server.row.server, self.facts.me)
+        view = self.fleet.evidence.summary(self.now, server.row.server, self.facts.me)
         own = max((at for at, _ in server.setup_outcomes), default=LONG_AGO)
-        return view.bad(MIN_WITNESSES, own) and server.unused_grant_at <= self.now - ANSWER_TIMEOUT_US
+        return view.is_bad(MIN_WITNESSES, own) and server.unused_grant_at <= self.now - ANSWER_TIMEOUT_US
 
     def observe(self, event: ev.Event) -> None:
         match event:
@@ -191,7 +191,7 @@
             held.told_warm_at = LONG_AGO
             self.table.reported(held)
             self.fleet.evidence.forget(row.server)
-            self.fleet.counts.end_key(row.server)
+            self.fleet.counts.clear_key(row.server)
         before = self.running_rack(held)
         self.table.put_row(held, row)
         self.mark_stale(held)
@@ -234,11 +234,13 @@
 
     def record_setup_outcome(self, server: Server, well: bool) -> None:
         server.setup_outcomes = [*server.setup_outcomes[-5:], (self.now, well)]
-        self.fleet.saw(
+        self.fleet.record_own(
             server.row.server,
             server.outcomes_since(self.now - (FIRST_SETUP_BACKOFF_US << MAX_BACKOFF_DOUBLINGS)),
         )
-        server.unsent_outcome |= not well or self.fleet.evidence.view(self.now, server.row.server).failed > 0
+        server.unsent_outcome |= (
+            not well or self.fleet.evidence.summary(self.now, server.row.server).failed > 0
+        )
         self.table.to_tell(server)
         if well and server.seen_down_at is not None:
             unseen = (
@@ -359,23 +361,23 @@
     def record_peer_message(self, message: ev.PeerMessage) -> None:
         word = words.unpack(message.payload)
         self.last_message = message.payload, word
-        for number in self.fleet.hear(message.peer, word):
+        for number in self.fleet.receive(message.peer, word):
             self.update_known_demand_of(number)
-        if isinstance(word, words.Answer):
-            asked = self.fleet.answered(message.peer, word)
-            for room in word.rooms if asked is not None else ():
+        if isinstance(word, words.QueryReply):
+            asked = self.fleet.match_reply(message.peer, word)
+            for room in word.statuses if asked is not None else ():
                 if (server := self.servers.get(room.server)) is not None and asked is not None:
                     server.apply_answer(asked, room)
-        elif isinstance(word, words.Telling):
+        elif isinstance(word, words.RateUpdate):
             for rate in [rate for rate in word.rates if rate.server in self.servers]:
                 server = self.servers[rate.server]
-                if rate.share and (
-                    not server.delivery_notes or server.delivery_notes[-1][0] < self.now - rate.share.age
+                if rate.delivered and (
+                    not server.delivery_notes or server.delivery_notes[-1][0] < self.now - rate.delivered.age
                 ):
-                    self.record_delivery(server, self.now - rate.share.age, rate.share.figure)
+                    self.record_delivery(server, self.now - rate.delivered.age, rate.delivered.value)
                 taken = self.now - (rate.load.age if rate.load else 0)
                 if rate.load and (not server.link.reports or server.link.reports[-1][0] < taken):
-                    self.add_link_report(server, taken, rate.load.figure)
+                    self.add_link_report(server, taken, rate.load.value)
 
     def uplink(self, server: Server) -> LinkState:
         return self.uplinks[server.row.cell % len(self.uplinks)]
@@ -404,7 +406,7 @@
 
     def all_demand_known(self, server: Server) -> bool:
         """Whether most fronts' rates are known, so that all that is asked of its rack is."""
-        return self.fleet.whole(self.group_of(server))
+        return self.fleet.is_synced(self.group_of(server))
 
     def group_of(self, server: Server) -> int:
         return self.group_by_rack[server.row.cell % len(self.uplinks)]
@@ -532,7 +534,11 @@
     def arrival_share(self) -> float:
         """Of a holder's idle that an arrival takes: as many others come there before the account knows."""
         facts = self.facts
-        age = ANSWER_TIMEOUT_US if self.fleet.talks else facts.plant.note_delay + facts.plant.note_every // 2
+        age = (
+            ANSWER_TIMEOUT_US
+            if self.fleet.gossip_enabled
+            else facts.plant.note_delay + facts.plant.note_every // 2
+        )
         come = self.arrivals.rate_per_s(self.now, 10 * SECOND) * facts.fronts
         meet = come / max(len(self.table.ready), 1) * age / SECOND
         return 1 / (1 + min(meet, (facts.fronts - 1)))
@@ -550,7 +556,7 @@
                 min(link.known_demand_at(taken) / ratio, math.inf if ratio < stops else link.capacity_kb)
                 for taken, ratio in link.reports
                 if ratio > 0.25
-                and taken > self.fleet.whole_since[self.group_of(server)]
+                and taken > self.fleet.synced_since[self.group_of(server)]
                 and self.is_demand_steady(link, taken)
             )
             if self.all_demand_known(server)
@@ -651,7 +657,7 @@
         # Guards against hundreds of fronts that each connect to all servers and ask all for signs of life:
         # where we have sessions is good enough. It may harm where ours alone fill a link: half its idle stays
         met = next((s for s in by_idle if s.sessions and s.row.zone == best.row.zone), best)
-        many = self.fleet.talks and self.facts.fronts > LOW_CONTENTION_FRONTS
+        many = self.fleet.gossip_enabled and self.facts.fronts > LOW_CONTENTION_FRONTS
         best = (
             met if many and idle[met.row.server] >= PREFERRED_IDLE_RATIO * idle[best.row.server] > 0 else best
         )
@@ -753,7 +759,11 @@
         slot = self.cold_slot_us(server)
         if not known and server.seen_down_at is None:
             return server.last_setup_at + slot * fronts
-        if known and self.fleet.asks and not self.fleet.shares.own(self.now, self.group_of(server)):
+        if (
+            known
+            and self.fleet.queries_owners
+            and not self.fleet.shares.may_use_own(self.now, self.group_of(server))
+        ):
             return (
                 self.now + ANSWER_TIMEOUT_US
             )  # our part is lent, or may be by our life before: a keeper grants
@@ -778,7 +788,10 @@
     def cold_burst(self, slot: int) -> int:
         """Set-ups that may come at once, by turns or by one keeper's grants: together the two roots and two
         that are chance beyond the N slots of the rule's span, less those that a connection holds back."""
-        among, late = 1 + KEEPERS if self.fleet.asks else 1, self.facts.permissions.connect_timeout / slot
+        among, late = (
+            1 + KEEPERS if self.fleet.queries_owners else 1,
+            self.facts.permissions.connect_timeout / slot,
+        )
         return max(1, int((2 * math.sqrt(self.facts.rules.fall / slot) + 2 - late) / among))
 
     def arrival_rate(self, server: Server) -> float:
@@ -795,7 +808,7 @@
         return (
             server.told_warm_at > self.now - self.gossip_period_us
             or self.has_warming_session(server)
-            or self.fleet.counts.flagged(server.row.server)
+            or self.fleet.counts.is_flagged(server.row.server)
         )
 
     def has_warming_session(self, server: Server) -> bool:
@@ -914,9 +927,9 @@
             (True, self.resize_sessions()),
             (self.facts.asked_discovery, self.watch_servers()),
             (self.probes_report_load, self.probe_servers()),
-            (self.fleet.asks, self.answer_questions()),
-            (self.fleet.talks, self.fleet.talking(self.update_known_demand_of, self.demand_messages)),
-            (self.fleet.talks, self.gossip()),
+            (self.fleet.queries_owners, self.answer_questions()),
+            (self.fleet.gossip_enabled, self.fleet.gossip(self.update_known_demand_of, self.demand_messages)),
+            (self.fleet.gossip_enabled, self.gossip()),
         ]
         return [script for want, script in wanted if want]
 
@@ -926,7 +939,7 @@
             next_time = self.now + self.resize_period_us
             if self.sessions:
                 groups = {self.group_of(s) for s in self.table.in_use()}
-                yield from self.fleet.ask(groups, words.AskOurs, self.now + ANSWER_TIMEOUT_US)
+                yield from self.fleet.query(groups, words.InUseQuery, self.now + ANSWER_TIMEOUT_US)
             for server in self.table.in_use():
                 yield from self.resize_server(server)
             yield act.Wait(next_time)
@@ -997,8 +1010,10 @@
         It covers keepers that are gone, and messages that are lost. It may harm where answers are slow."""
         req, until = sess.req, min(self.now + ANSWER_TIMEOUT_US, sess.deadline)
         groups = self.groups_holding(req.home, req.span)
-        question = functools.partial(words.AskHolders, home=req.home, span=req.span, zone=self.facts.zone)
-        yield from self.fleet.ask(self.fleet.asked_about(groups, GROUPS_ASKED, self.chance), question, until)
+        question = functools.partial(words.HoldersQuery, home=req.home, span=req.span, zone=self.facts.zone)
+        yield from self.fleet.query(
+            self.fleet.sample_groups(groups, GROUPS_ASKED, self.chance), question, until
+        )
         open_now = [s for s in self.eligible_holders(sess) if self.setup_backoff_until(s) <= self.now]
         if not self.probes_report_load or any(
             self.all_demand_known(s) or self.has_recent_answer(s) for s in open_now
@@ -1050,8 +1065,8 @@
                 else None
             )
             match got, word:
-                case ev.PeerMessage(), words.AskOurs(number):
-                    theirs = self.fleet.counts.told(got.peer)
+                case ev.PeerMessage(), words.InUseQuery(number):
+                    theirs = self.fleet.counts.amounts_of(got.peer)
                     about = [
                         s
                         for at in theirs
@@ -1060,7 +1075,7 @@
                         and s.row.state is not ServerState.GONE
                     ]
                     idle, granted = self.idle_by_server(about, 1.0), None
-                case ev.PeerMessage(), words.AskHolders(number, home, span, zone):
+                case ev.PeerMessage(), words.HoldersQuery(number, home, span, zone):
                     about = self.known_holders(home, span)
                     idle = self.idle_by_server(about, 1.0)
                     about.sort(
@@ -1072,25 +1087,23 @@
                     granted = next((s for s in about if self.may_grant(s, got.peer)), None)
                 case _:
                     continue
-            if not any(self.fleet.whole(group) for group in self.fleet.groups):
+            if not any(self.fleet.is_synced(group) for group in self.fleet.groups):
                 continue  # we know no better than who asks
             rooms = [
-                self.fleet.room(
+                self.fleet.status_for(
                     got.peer, s.row.server, idle[s.row.server], self.demand(s), self.is_warm(s), s is granted
                 )
                 for s in about
             ]
-            yield from self.fleet.answer(got.peer, number, rooms, isinstance(word, words.AskOurs))
+            yield from self.fleet.reply(got.peer, number, rooms, isinstance(word, words.InUseQuery))
 
     def may_grant(self, server: Server, peer: int) -> bool:
         """One send to what may be cold, out of the parts lent to us; or a try, for all, of what is avoided.
 
         Guards against hundreds of fronts that each keep a part they can't use, or each try a bad server."""
-        view = self.fleet.evidence.view(self.now, server.row.server, peer)
-        if view.bad(MIN_WITNESSES):
-            first = self.facts.me in self.fleet.keepers(self.group_of(server))[:2] and not self.is_cold(
-                server
-            )
+        view = self.fleet.evidence.summary(self.now, server.row.server, peer)
+        if view.is_bad(MIN_WITNESSES):
+            first = self.facts.me in self.fleet.owners(self.group_of(server))[:2] and not self.is_cold(server)
             rested = (
                 first and max(view.failed_at, server.trial_granted_at) <= self.now - FIRST_SETUP_BACKOFF_US
             )
@@ -1105,9 +1118,11 @@
         """Probe in turn, as often as the price allows; messages share the work among fronts."""
         for turn in itertools.count(1):
             ready = self.table.ready
-            if self.fleet.talks:  # all are told what each hears: where we play the connection is there
+            if (
+                self.fleet.gossip_enabled
+            ):  # all are told what each hears: where we play the connection is there
                 ready = [s for s in self.table.in_use() if s.row.state is ServerState.READY] or ready
-            if ready and not self.fleet.deaf():
+            if ready and not self.fleet.most_owners_silent():
                 first = len(ready) * self.facts.me // self.facts.fronts
                 yield act.Probe(ready[(first + turn) % len(ready)].row.server)
             worth = PROBE_BUDGET_POINTS / max(self.facts.prices.probe, PROBE_BUDGET_POINTS / 4)
@@ -1131,15 +1146,15 @@
                 ),
             )
             for s in servers
-            if self.fleet.talks
+            if self.fleet.gossip_enabled
         ]
-        yield from self.fleet.tell(rates)
+        yield from self.fleet.send_changes(rates)
 
-    def demand_messages(self, keeper: int) -> list[words.Rate]:
+    def demand_messages(self, keeper: int) -> list[words.ServerRate]:
         return [
-            words.Rate(s.row.server, s.own_demand(), warm=self.has_warming_session(s))
+            words.ServerRate(s.row.server, s.own_demand(), warm=self.has_warming_session(s))
             for s in self.table.in_use()
-            if keeper in self.fleet.others(self.group_of(s))
+            if keeper in self.fleet.other_owners(self.group_of(s))
         ]
 
     def gossip(self) -> Script:
@@ -1158,7 +1173,7 @@
                 ]
             )
             cold = self.table.cold(self.now, self.facts.rules.cold)
-            yield from self.fleet.lend(sorted({self.group_of(s) for s in cold}))
+            yield from self.fleet.lend_shares(sorted({self.group_of(s) for s in cold}))
             yield act.Wait(self.now + self.gossip_period_us)
 
     def watch_servers(self) -> Script:
--- a/ponddoor/state.py
+++ b/ponddoor/state.py
@@ -4,7 +4,7 @@
 import math
 from dataclasses import dataclass, field
 
-from ponddoor.fleet.evidence import Seen
+from ponddoor.fleet.evidence import Observation
 from ponddoor.interface import events as ev
 from ponddoor.interface import words
 from ponddoor.interface.chance import LONG_AGO, Chance
@@ -160,35 +160,39 @@
             self.cached_own_demand = total
         return self.cached_own_demand
 
-    def apply_answer(self, asked: int, room: words.Room) -> None:
+    def apply_answer(self, asked: int, room: words.ServerStatus) -> None:
         """A keeper's word, in answer to a question of ours of that moment."""
-        self.last_answer = (asked, room.idle + room.theirs, room.asked - room.theirs)
+        self.last_answer = (asked, room.idle_kb + room.asker_kb, room.asked_kb - room.asker_kb)
         self.told_warm_at = asked if room.warm else LONG_AGO
         self.unused_grant_at = asked if room.granted else self.unused_grant_at
 
-    def outcomes_since(self, since: int) -> Seen:
+    def outcomes_since(self, since: int) -> Observation:
         """How our set-ups there ended since a moment."""
         failed = [at for at, well in self.setup_outcomes if at > since and not well]
         went_well = [at for at, well in self.setup_outcomes if at > since and well]
         last, last_well = max(failed, default=LONG_AGO), max(went_well, default=LONG_AGO)
-        return Seen(len(failed), len(went_well), last, last_well)
+        return Observation(len(failed), len(went_well), last, last_well)
 
     def has_session_from_before(self, since: int) -> bool:
         """Whether a session of ours there began before a moment, and was not lost since."""
         began = (s.playing_since for s in self.sessions.values() if s.playing_since is not None)
         return self.seen_down_at is None and any(at <= since for at in began)
 
-    def take_update(self, now: int, since: int, warm: bool) -> words.Rate:
+    def take_update(self, now: int, since: int, warm: bool) -> words.ServerRate:
         """Our rate there, and what came to us since we last said so: that is said once."""
         load, share = (
             words.Sample(s[1], now - s[0]) if s else None for s in (self.unsent_report, self.unsent_delivery)
         )
         seen = self.outcomes_since(since)
-        failed_age, well_age = now - max(seen.failed_at, since), now - max(seen.well_at, since)
-        told = words.Ends(seen.failed, seen.well, failed_age, well_age) if self.unsent_outcome else None
+        failed_age, well_age = now - max(seen.failed_at, since), now - max(seen.succeeded_at, since)
+        told = (
+            words.SetupOutcomes(seen.failed, seen.succeeded, failed_age, well_age)
+            if self.unsent_outcome
+            else None
+        )
         self.sent_demand_kb, self.sent_warm = self.own_demand(), warm
         self.unsent_report, self.unsent_delivery, self.unsent_outcome = None, None, False
-        return words.Rate(self.row.server, self.sent_demand_kb, load, share, warm, told)
+        return words.ServerRate(self.row.server, self.sent_demand_kb, load, share, warm, told)
 
     def invalidate_demand(self) -> None:
         """Its sessions or their rungs are others now: what they ask is summed anew."""
