--- a/ponddoor/capacity/virtual_measure.py
+++ b/ponddoor/capacity/virtual_measure.py
@@ -13,15 +13,15 @@
 from typing import Any
 
 from ponddoor.decide import (
-    ANSWER_TIMEOUT_US,
     DEAD_AFTER_ROUNDS,
     FIRST_SETUP_BACKOFF_US,
     FULL_MESH_FRONTS,
     GOSSIP_PERIOD_TARGETS,
-    KEEPERS,
     MAX_BACKOFF_DOUBLINGS,
     MIN_KNOWN_RATIO,
     MIN_REACH_RATIO,
+    OWNERS_PER_GROUP,
+    REPLY_TIMEOUT_US,
     Front,
 )  # fmt: skip
 from ponddoor.fleet.presence import Timing
@@ -114,9 +114,9 @@
     """What tells who lives, of one front, without decisions."""
 
     def __init__(self, told: SiteFacts, now: int) -> None:
-        timing = Timing(PERIOD, ANSWER_TIMEOUT_US, DEAD_AFTER_ROUNDS * PERIOD, 2 * DEAD_AFTER_ROUNDS * PERIOD)
+        timing = Timing(PERIOD, REPLY_TIMEOUT_US, DEAD_AFTER_ROUNDS * PERIOD, 2 * DEAD_AFTER_ROUNDS * PERIOD)
         terms = Terms(
-            KEEPERS,
+            OWNERS_PER_GROUP,
             FULL_MESH_FRONTS,
             timing,
             FIRST_SETUP_BACKOFF_US << MAX_BACKOFF_DOUBLINGS,
--- a/ponddoor/decide.py
+++ b/ponddoor/decide.py
@@ -9,8 +9,8 @@
 1. the guard: the six rules, at the one place that every SETUP passes (`Front.eligible_holders`);
 2. health: a server that fails is rested, then tried by one session at a time (`setup_backoff_until`);
 3. further SETUPs: set-up timeouts that leave room for another holder (`Front.setup_timeout`);
-4. fronts' word: rates, reports and evidence told to the keepers of a rack, who answer who asks (`gossip`,
-   `answer_questions`; what is kept of it is in `ponddoor/fleet`);
+4. fronts' word: rates, reports and evidence told to the keepers of a rack, who answer who asks (`update_owners`,
+   `answer_queries`; what is kept of it is in `ponddoor/fleet`);
 5. an inquiry before a placement, of keepers or of two holders, where the account is not whole (`inquire`);
 6. a busy-reply where no holder has room and most of our sessions are at the lowest rung (`place`).
 """
@@ -48,15 +48,17 @@
 MIN_UPLINK_RATIO = 0.25  # of a told uplink, that a shortage can leave
 GOSSIP_PERIOD_TARGETS = 2  # start targets
 FULL_SYNC_ROUNDS = 16  # so many tellings, all is told and not only what changed
-FULL_MESH_FRONTS = 3  # so many fronts all keep the whole account; of more, each part of it has KEEPERS
-KEEPERS = 3
+FULL_MESH_FRONTS = (
+    3  # so many fronts all keep the whole account; of more, each part of it has OWNERS_PER_GROUP
+)
+OWNERS_PER_GROUP = 3
 ARRIVALS_PER_S_PER_GROUP = 50  # arrivals a second, one a front in each start target, that a part is made for
 MIN_KNOWN_RATIO, MIN_REACH_RATIO = (
     0.6,
     0.4,
 )  # of the fleet, that has told us and that answers: the account is whole
-GROUPS_ASKED = 3  # parts of the account that are asked about for an arrival
-ANSWER_TIMEOUT_US = SECOND // 12  # how long an answer of a keeper or a probe is waited for
+GROUPS_QUERIED = 3  # parts of the account that are asked about for an arrival
+REPLY_TIMEOUT_US = SECOND // 12  # how long an answer of a keeper or a probe is waited for
 DEAD_AFTER_ROUNDS = 4  # tellings, after which a front that does not answer is dead, at the soonest
 IDLE_SHARE_RATIOS = (
     0.5,
@@ -100,12 +102,12 @@
         )
         timing = Timing(
             self.gossip_period_us,
-            ANSWER_TIMEOUT_US,
+            REPLY_TIMEOUT_US,
             DEAD_AFTER_ROUNDS * self.gossip_period_us,
             2 * DEAD_AFTER_ROUNDS * self.gossip_period_us,
         )
         terms = Terms(
-            KEEPERS,
+            OWNERS_PER_GROUP,
             FULL_MESH_FRONTS,
             timing,
             FIRST_SETUP_BACKOFF_US << MAX_BACKOFF_DOUBLINGS,
@@ -122,7 +124,7 @@
         self.last_rack_of_group = {group: rack for rack, group in enumerate(self.group_by_rack)}
         self.last_message: tuple[bytes, words.Message | None] = b"", None  # the last that came
         self.rack_loads: dict[int, RackLoad] = {}
-        self.rack_load_ttl_us = ANSWER_TIMEOUT_US // 4 if self.fleet.queries_owners else 0
+        self.rack_load_ttl_us = REPLY_TIMEOUT_US // 4 if self.fleet.queries_owners else 0
         self.idle_share_ratios = [max(part, 1 / facts.fronts) for part in IDLE_SHARE_RATIOS]
         self.probes_report_load = facts.permissions.probes and facts.reporting is Reporting.ON_PROBE
 
@@ -145,7 +147,7 @@
         harm where two fronts are cut off from a server: until another tells, or while evidence counts."""
         view = self.fleet.evidence.summary(self.now, server.row.server, self.facts.me)
         own = max((at for at, _ in server.setup_outcomes), default=LONG_AGO)
-        return view.is_bad(MIN_WITNESSES, own) and server.unused_grant_at <= self.now - ANSWER_TIMEOUT_US
+        return view.is_bad(MIN_WITNESSES, own) and server.unused_grant_at <= self.now - REPLY_TIMEOUT_US
 
     def observe(self, event: ev.Event) -> None:
         match event:
@@ -367,7 +369,7 @@
             asked = self.fleet.match_reply(message.peer, word)
             for room in word.statuses if asked is not None else ():
                 if (server := self.servers.get(room.server)) is not None and asked is not None:
-                    server.apply_answer(asked, room)
+                    server.apply_reply(asked, room)
         elif isinstance(word, words.RateUpdate):
             for rate in [rate for rate in word.rates if rate.server in self.servers]:
                 server = self.servers[rate.server]
@@ -426,8 +428,8 @@
 
         Guards against old word: long unheard of, a server counts as full as those with a report, one started
         since as emptier, or nobody is sent to bring news. It may harm where the silent are the full ones."""
-        if self.has_recent_answer(server):
-            return server.last_answer[2] + server.own_demand()
+        if self.has_recent_reply(server):
+            return server.last_reply[2] + server.own_demand()
         known = server.link.known_demand[-1][1]
         if self.all_demand_known(server):
             return known
@@ -436,8 +438,8 @@
         age = (self.now - server.process_started_at()) / self.facts.rules.cold
         return max(server.own_demand(), server.link.capacity_kb * self.mean_fleet_load() * min(1.0, age))
 
-    def has_recent_answer(self, server: Server) -> bool:
-        return server.last_answer[0] > self.now - self.gossip_period_us
+    def has_recent_reply(self, server: Server) -> bool:
+        return server.last_reply[0] > self.now - self.gossip_period_us
 
     def idle_by_server(self, servers: list[Server], part: float | None = None) -> dict[int, float]:
         """Told link less headroom and what is asked, capped by its share of its rack's idle uplink.
@@ -465,8 +467,8 @@
                 stand.uplink_residual_kb * stand.demand_kb.get(at, 0.0) / max(stand.total_demand_kb, 1.0)
             )
             found[at] = ours if stand.uplink_residual_kb >= 0 else min(room, ours_short)
-        for server in filter(self.has_recent_answer, servers):
-            room = server.last_answer[1] - server.own_demand()
+        for server in filter(self.has_recent_reply, servers):
+            room = server.last_reply[1] - server.own_demand()
             found[server.row.server] = room * (part or self.idle_share_ratios[0]) if room > 0 else room
         return found
 
@@ -535,7 +537,7 @@
         """Of a holder's idle that an arrival takes: as many others come there before the account knows."""
         facts = self.facts
         age = (
-            ANSWER_TIMEOUT_US
+            REPLY_TIMEOUT_US
             if self.fleet.gossip_enabled
             else facts.plant.note_delay + facts.plant.note_every // 2
         )
@@ -647,7 +649,7 @@
         # Guards against hearsay that would leave nobody: half of a title's holders are avoided at most
         avoided = list(filter(self.is_avoided, fit))[: len(open_now) // 2]
         fit = [s for s in fit if s not in avoided] or fit
-        fit = list(filter(self.has_recent_answer, fit)) or fit
+        fit = list(filter(self.has_recent_reply, fit)) or fit
         idle = self.idle_by_server(fit)
         first = self.chance.draw(len(fit))  # fronts that see alike must not all take the same of equals
         by_idle = sorted(fit[first:] + fit[:first], key=lambda s: -idle[s.row.server])
@@ -754,7 +756,7 @@
             and (self.now - self.created_at >= rules.cold or self.is_warm(server))
         ):
             return 0
-        if server.unused_grant_at > self.now - ANSWER_TIMEOUT_US:
+        if server.unused_grant_at > self.now - REPLY_TIMEOUT_US:
             return 0
         slot = self.cold_slot_us(server)
         if not known and server.seen_down_at is None:
@@ -765,7 +767,7 @@
             and not self.fleet.shares.may_use_own(self.now, self.group_of(server))
         ):
             return (
-                self.now + ANSWER_TIMEOUT_US
+                self.now + REPLY_TIMEOUT_US
             )  # our part is lent, or may be by our life before: a keeper grants
         run = min(
             fronts, int(COLD_PACE_RATIO * SECOND / (slot * self.arrival_rate(server))), self.cold_burst(slot)
@@ -789,7 +791,7 @@
         """Set-ups that may come at once, by turns or by one keeper's grants: together the two roots and two
         that are chance beyond the N slots of the rule's span, less those that a connection holds back."""
         among, late = (
-            1 + KEEPERS if self.fleet.queries_owners else 1,
+            1 + OWNERS_PER_GROUP if self.fleet.queries_owners else 1,
             self.facts.permissions.connect_timeout / slot,
         )
         return max(1, int((2 * math.sqrt(self.facts.rules.fall / slot) + 2 - late) / among))
@@ -927,9 +929,9 @@
             (True, self.resize_sessions()),
             (self.facts.asked_discovery, self.watch_servers()),
             (self.probes_report_load, self.probe_servers()),
-            (self.fleet.queries_owners, self.answer_questions()),
+            (self.fleet.queries_owners, self.answer_queries()),
             (self.fleet.gossip_enabled, self.fleet.gossip(self.update_known_demand_of, self.demand_messages)),
-            (self.fleet.gossip_enabled, self.gossip()),
+            (self.fleet.gossip_enabled, self.update_owners()),
         ]
         return [script for want, script in wanted if want]
 
@@ -939,7 +941,7 @@
             next_time = self.now + self.resize_period_us
             if self.sessions:
                 groups = {self.group_of(s) for s in self.table.in_use()}
-                yield from self.fleet.query(groups, words.InUseQuery, self.now + ANSWER_TIMEOUT_US)
+                yield from self.fleet.query(groups, words.InUseQuery, self.now + REPLY_TIMEOUT_US)
             for server in self.table.in_use():
                 yield from self.resize_server(server)
             yield act.Wait(next_time)
@@ -953,7 +955,7 @@
         """Size a server's playing sessions within our share of its idle; only changes that pay."""
         known = (
             self.all_demand_known(server)
-            or self.has_recent_answer(server)
+            or self.has_recent_reply(server)
             or self.has_recent_report(server.link)
         )
         mine = [s for s in server.sessions.values() if s.playing_since is not None] if known else []
@@ -1008,15 +1010,15 @@
         """Guards against placing blind, where the account is not whole: asks keepers, else probes two.
 
         It covers keepers that are gone, and messages that are lost. It may harm where answers are slow."""
-        req, until = sess.req, min(self.now + ANSWER_TIMEOUT_US, sess.deadline)
+        req, until = sess.req, min(self.now + REPLY_TIMEOUT_US, sess.deadline)
         groups = self.groups_holding(req.home, req.span)
         question = functools.partial(words.HoldersQuery, home=req.home, span=req.span, zone=self.facts.zone)
         yield from self.fleet.query(
-            self.fleet.sample_groups(groups, GROUPS_ASKED, self.chance), question, until
+            self.fleet.sample_groups(groups, GROUPS_QUERIED, self.chance), question, until
         )
         open_now = [s for s in self.eligible_holders(sess) if self.setup_backoff_until(s) <= self.now]
         if not self.probes_report_load or any(
-            self.all_demand_known(s) or self.has_recent_answer(s) for s in open_now
+            self.all_demand_known(s) or self.has_recent_reply(s) for s in open_now
         ):
             return
         near = [s for s in open_now if s.row.zone == self.facts.zone] or open_now
@@ -1029,7 +1031,7 @@
                 server.arrival_probe_at = self.now
                 yield act.Probe(server.row.server)
         yield act.Wait(
-            min(until, max((s.arrival_probe_at + ANSWER_TIMEOUT_US for s in two), default=self.now))
+            min(until, max((s.arrival_probe_at + REPLY_TIMEOUT_US for s in two), default=self.now))
         )
 
     def groups_holding(self, home: int, span: int) -> list[int]:
@@ -1055,7 +1057,7 @@
             if holds(s.row.cell, home, span) and self.all_demand_known(s) and s.row.state is ServerState.READY
         ]
 
-    def answer_questions(self) -> Script:
+    def answer_queries(self) -> Script:
         """A keeper's answers: the best holders, the asker's zone first, and the best cold ones."""
         while True:
             got = yield act.Listen(None)
@@ -1157,7 +1159,7 @@
             if keeper in self.fleet.other_owners(self.group_of(s))
         ]
 
-    def gossip(self) -> Script:
+    def update_owners(self) -> Script:
         yield act.Wait(self.now + SECOND // 10)  # the sessions handed over are in by then
         for turn in itertools.count():
             yield from self.fleet.refresh(turn, FULL_SYNC_ROUNDS, self.demand_messages)
--- a/ponddoor/state.py
+++ b/ponddoor/state.py
@@ -136,7 +136,7 @@
     reported_load: float = 0.0  # the link as last reported, whatever short notes say
     sent_demand_kb: float = 0.0  # our rate there as last told
     sent_warm: bool = False  # and whether we had an old session there
-    last_answer: tuple[int, float, float] = (
+    last_reply: tuple[int, float, float] = (
         LONG_AGO,
         0.0,
         0.0,
@@ -160,9 +160,9 @@
             self.cached_own_demand = total
         return self.cached_own_demand
 
-    def apply_answer(self, asked: int, room: words.ServerStatus) -> None:
+    def apply_reply(self, asked: int, room: words.ServerStatus) -> None:
         """A keeper's word, in answer to a question of ours of that moment."""
-        self.last_answer = (asked, room.idle_kb + room.asker_kb, room.asked_kb - room.asker_kb)
+        self.last_reply = (asked, room.idle_kb + room.asker_kb, room.asked_kb - room.asker_kb)
         self.told_warm_at = asked if room.warm else LONG_AGO
         self.unused_grant_at = asked if room.granted else self.unused_grant_at
 
