--- a/ponddoor/decide.py
+++ b/ponddoor/decide.py
@@ -9,8 +9,8 @@
 1. the guard: the six rules, at the one place that every SETUP passes (`Front.eligible_holders`);
 2. health: a server that fails is rested, then tried by one session at a time (`setup_backoff_until`);
 3. further SETUPs: set-up timeouts that leave room for another holder (`Front.setup_timeout`);
-4. fronts' word: rates, reports and evidence told to the keepers of a rack, who answer who asks (`update_owners`,
-   `answer_queries`; what is kept of it is in `ponddoor/fleet`);
+4. fronts' word: rates, reports and evidence told to the keepers of a rack, who answer who asks
+   (`update_owners`, `answer_queries`; what is kept of it is in `ponddoor/fleet`);
 5. an inquiry before a placement, of keepers or of two holders, where the account is not whole (`inquire`);
 6. a busy-reply where no holder has room and most of our sessions are at the lowest rung (`place`).
 """
