--- a/ponddoor/decide.py
+++ b/ponddoor/decide.py
@@ -29,9 +29,9 @@
 from ponddoor.interface import words
 from ponddoor.interface.events import Result, ServerState
 from ponddoor.interface.facts import Effect, Reporting, Scope, SiteFacts
-from ponddoor.interface.script import Resumed, Script
+from ponddoor.interface.script import ResumeValue, Script
 from ponddoor.server_table import ServerTable
-from ponddoor.state import LONG_AGO, Arrivals, Chance, LinkState, RackLoad, Server, Sess
+from ponddoor.state import LONG_AGO, Arrivals, LinkState, RackLoad, SeededRandom, Server, Sess
 
 SECOND = 1_000_000
 HEADROOM_RATIO = 0.04  # of a link or uplink, left for true rates above the ladder and for others' raises
@@ -83,9 +83,9 @@
 
 class Front:
     def __init__(self, facts: SiteFacts, now: int) -> None:
-        self.facts, self.now, self.created_at, self.chance = facts, now, now, Chance(facts.seed)
+        self.facts, self.now, self.created_at, self.chance = facts, now, now, SeededRandom(facts.seed)
         self.table = ServerTable(facts.plant)
-        self.servers, self.by_rack = self.table.all, self.table.by_rack
+        self.servers, self.by_rack = self.table.by_number, self.table.by_rack
         self.uplinks = [LinkState(facts.plant.uplink_kb) for _ in range(facts.plant.racks or 1)]
         self.sessions: dict[int, Sess] = {}
         self.seats_in_use: dict[tuple[int, int], int] = {}
@@ -191,11 +191,11 @@
         elif row.started_at > held.row.started_at:  # a new process: what was seen of the old one is void
             held.setup_outcomes, held.delivery_notes, held.link.reports, held.seen_down_at = [], [], [], None
             held.told_warm_at = LONG_AGO
-            self.table.reported(held)
+            self.table.reports_changed(held)
             self.fleet.evidence.forget(row.server)
             self.fleet.counts.clear_key(row.server)
         before = self.running_rack(held)
-        self.table.put_row(held, row)
+        self.table.update_row(held, row)
         self.mark_stale(held)
         if before != (after := self.running_rack(held)):
             self.move_demand(held, before, after)
@@ -226,7 +226,7 @@
     def add_link_report(self, server: Server, taken: int, ratio: float) -> None:
         """A report of a server's link, of the moment it was taken."""
         server.link.add_report(taken, ratio)
-        self.table.reported(server)
+        self.table.reports_changed(server)
         self.mark_stale(server)
 
     def mark_stale(self, server: Server) -> None:
@@ -243,13 +243,13 @@
         server.unsent_outcome |= (
             not well or self.fleet.evidence.summary(self.now, server.row.server).failed > 0
         )
-        self.table.to_tell(server)
+        self.table.mark_unsent(server)
         if well and server.seen_down_at is not None:
             unseen = (
                 server.row.started_at < server.seen_down_at
             )  # it may have restarted, and the list not know yet
             server.seen_up_at, server.seen_down_at = self.now if unseen else server.seen_up_at, None
-            self.table.may_be_cold(server)
+            self.table.mark_possibly_cold(server)
 
     def record_end(self, event: ev.Ended) -> None:
         sess, server = self.sessions.get(event.req_id), self.servers.get(event.server)
@@ -298,7 +298,7 @@
                 self.uplink(server).add_report(taken, note.value)
             case ev.NoteKind.DELIVERED:
                 server.unsent_delivery = (taken, note.value)
-                self.table.to_tell(server)
+                self.table.mark_unsent(server)
                 self.record_delivery(server, taken, note.value)
 
     def record_delivery(self, server: Server, taken: int, share: float) -> None:
@@ -312,7 +312,7 @@
             server.link.reports = [
                 (at, ratio) for at, ratio in server.link.reports if ratio < 1 or at > taken
             ]
-            self.table.reported(server)
+            self.table.reports_changed(server)
         if mild >= 0.98 or len(server.delivery_notes) < 2:
             return
         rack = self.uplink(server)
@@ -356,7 +356,7 @@
                 )  # util stops at full: the notes tell how far over
             self.add_link_report(server, taken, ratio)
             server.unsent_report, server.reported_load = (taken, ratio), ratio
-            self.table.to_tell(server)
+            self.table.mark_unsent(server)
         if "uplink_asked" in report:
             self.uplink(server).add_report(taken, report["uplink_asked"])
 
@@ -389,7 +389,7 @@
 
     def update_known_demand(self, server: Server) -> None:
         """What we know to be asked of a link and of its rack's uplink has changed."""
-        self.table.use(server)
+        self.table.sessions_changed(server)
         asked = server.own_demand() + self.fleet.counts.likely(server.row.server)
         before = server.link.known_demand[-1][1]
         server.link.known_demand = [*server.link.known_demand[-39:], (self.now, asked)]
@@ -416,10 +416,10 @@
     def mean_fleet_load(self) -> float:
         """The fleet's usual load, by the reports; without any, others are taken to ask as much as we do."""
         if self.mean_load_at != self.now:
-            load = self.table.mean_report(self.now - 2 * REPORT_MISSING_US)
+            load = self.table.mean_reported_load(self.now - 2 * REPORT_MISSING_US)
             if load is None:
                 ours = sum(s.own_demand() for s in self.table.in_use()) * self.facts.fronts
-                load = ours / max(self.table.kb, 1.0)
+                load = ours / max(self.table.total_kb, 1.0)
             self.mean_load_at, self.mean_load = self.now, load
         return self.mean_load
 
@@ -696,7 +696,9 @@
         count, holds = self.table.holder_count(home, span), self.facts.plant.holds
         if count <= MAX_COMPARED:
             return self.table.holders(home, span)
-        drawn = self.table.holders_at(home, span, (self.chance.draw(count) for _ in range(SAMPLED_HOLDERS)))
+        drawn = self.table.holders_at_positions(
+            home, span, (self.chance.draw(count) for _ in range(SAMPLED_HOLDERS))
+        )
         ours = [
             s
             for s in self.table.in_use()
@@ -847,7 +849,7 @@
                 chance = min(map(self.paced_until, later), default=sess.deadline)
                 if not self.now < chance < sess.deadline and (chance := self.retry_at(sess)) <= self.now:
                     break
-                got: Resumed = yield act.Wait(chance)
+                got: ResumeValue = yield act.Wait(chance)
             else:
                 self.record_setup(sess, server)
                 yield from self.send_updates([server])
@@ -1060,7 +1062,7 @@
     def answer_queries(self) -> Script:
         """A keeper's answers: the best holders, the asker's zone first, and the best cold ones."""
         while True:
-            got = yield act.Listen(None)
+            got = yield act.WaitForPeerMessage(None)
             word = (
                 self.last_message[1]
                 if isinstance(got, ev.PeerMessage) and self.last_message[0] is got.payload
@@ -1166,7 +1168,7 @@
             yield from self.send_updates(
                 [
                     s
-                    for s in self.table.take_untold()
+                    for s in self.table.take_unsent()
                     if s.unsent_report
                     or s.unsent_delivery
                     or s.unsent_outcome
@@ -1174,7 +1176,7 @@
                     or s.sent_warm != self.has_warming_session(s)
                 ]
             )
-            cold = self.table.cold(self.now, self.facts.rules.cold)
+            cold = self.table.cold_servers(self.now, self.facts.rules.cold)
             yield from self.fleet.lend_shares(sorted({self.group_of(s) for s in cold}))
             yield act.Wait(self.now + self.gossip_period_us)
 
--- a/ponddoor/fleet/view.py
+++ b/ponddoor/fleet/view.py
@@ -19,7 +19,7 @@
 from ponddoor.fleet.shares import Shares
 from ponddoor.interface import actions as act
 from ponddoor.interface import words
-from ponddoor.interface.chance import Chance
+from ponddoor.interface.chance import SeededRandom
 from ponddoor.interface.facts import SiteFacts
 from ponddoor.interface.script import Script
 
@@ -121,7 +121,7 @@
         """Racks that follow one another are one group: a title mostly lies in one."""
         return rack * len(self.groups) // racks
 
-    def sample_groups(self, of: list[int], most: int, chance: Chance) -> list[int]:
+    def sample_groups(self, of: list[int], most: int, chance: SeededRandom) -> list[int]:
         """Some of these groups: of a title that lies everywhere its home's and others by chance."""
         groups = list(dict.fromkeys(of))
         while len(groups) > most:
@@ -278,7 +278,9 @@
                 begun, self._full_update_wanted = self._full_update_wanted & self.all_owners(), set()
                 for keeper in sorted(begun):
                     yield from self.send_full_update(keeper, rates(keeper))
-            yield act.Listen(min(self.presence.next_due, self._request_all_at or self.presence.next_due))
+            yield act.WaitForPeerMessage(
+                min(self.presence.next_due, self._request_all_at or self.presence.next_due)
+            )
 
     def send_changes(self, rates: Iterable[tuple[int, words.ServerRate]]) -> Script:
         """What changed at servers of these groups, to the keepers of each."""
@@ -318,7 +320,7 @@
         for keeper in sorted(keepers):
             yield from _send(keeper, question(number))
         while held.waited and self.now < until:
-            yield act.Listen(until)
+            yield act.WaitForPeerMessage(until)
         self.silent_owners |= held.waited
         held.waited.clear()
 
@@ -363,7 +365,7 @@
 
 def _send(peer: int | None, word: words.Message) -> Script:
     for message in words.pack(word):
-        yield act.Tell(peer, message)
+        yield act.SendPeerMessage(peer, message)
 
 
 def summary_of_status(now: int, room: words.ServerStatus) -> EvidenceSummary:
