--- a/ponddoor/runtime/driver.py
+++ b/ponddoor/runtime/driver.py
@@ -43,8 +43,8 @@
     def __init__(self, front: Decisions) -> None:
         self._front = front
         self._sessions: dict[int, Script] = {}  # by req_id
-        # Scripts that wait for a time or for a message of another front, by cookie, each with the req_id of its
-        # session. A script that waits for both is in both tables.
+        # Scripts that wait for a time or for a message of another front, by cookie, each with the req_id of
+        # its session. A script that waits for both is in both tables.
         self._timers: dict[int, tuple[Script, int | None]] = {}
         self._cookie_of_session: dict[int, int] = {}  # of sessions that wait, by req_id
         self._awaiting_message: dict[int, tuple[Script, int | None]] = {}
