--- a/ponddoor/front/trace.py
+++ b/ponddoor/front/trace.py
@@ -52,7 +52,7 @@
 
 def in_bytes(actions: list[Action]) -> bytes:
     """Actions as the bench's wire has them."""
-    return codec.encode(0, actions)
+    return codec.encode_actions(0, actions)
 
 
 @dataclass(slots=True)
--- a/ponddoor/node/board.py
+++ b/ponddoor/node/board.py
@@ -139,8 +139,9 @@
     def _feed(self) -> None:
         """Pass at most MAX_ROWS_PER_TURN rows to the engine, the rest in later turns of the event loop.
 
-        Between them received data is read. The engine may still choose a server that can no longer be used,
-        but nothing is sent there: `on_change` has told the links the whole change already."""
+        Received data is read between the turns, and each intermediate state of the engine is consistent. The
+        engine may still choose a server that can no longer be used, but nothing is sent there: `on_change`
+        has passed the whole change to the links."""
         rows = tuple(
             self._pending_rows.popleft() for _ in range(min(MAX_ROWS_PER_TURN, len(self._pending_rows)))
         )
--- a/ponddoor/node/connection_refresh.py
+++ b/ponddoor/node/connection_refresh.py
@@ -57,7 +57,7 @@
 
 @dataclass(slots=True)
 class ConnectionRefresh:
-    """The candidate and the retiring connections of one link, which passes their events on to it."""
+    """The candidate and the retiring connections of one link. The link calls it for each of their events."""
 
     link: RefreshedLink
     completeness: Completeness
--- a/ponddoor/simhost/codec.py
+++ b/ponddoor/simhost/codec.py
@@ -50,6 +50,7 @@
         self._body, self._offset, self._description = body, 0, description
 
     def take(self, layout: struct.Struct) -> tuple[Any, ...]:
+        """The next fields, of a fixed layout."""
         end = self._offset + layout.size
         if end > len(self._body):
             raise MalformedError(f"{self._description}: fields need {end} bytes, got {len(self._body)}")
@@ -58,6 +59,7 @@
         return values
 
     def blob(self, size: int) -> bytes:
+        """The next `size` bytes."""
         end = self._offset + size
         if end > len(self._body):
             raise MalformedError(f"{self._description}: fields need {end} bytes, got {len(self._body)}")
@@ -79,7 +81,7 @@
         self._lists: dict[int, tuple[ev.ServerRow, ...]] = {}
         self._report_fields: dict[int, tuple[str, ...]] = {}
 
-    def batch(self, body: bytes, count: int) -> Iterator[tuple[int, Boot | Killed | ev.Event]]:
+    def decode_batch(self, body: bytes, count: int) -> Iterator[tuple[int, Boot | Killed | ev.Event]]:
         """Yields each event with the number of its instance, in order. Their time is in the batch header.
 
         Raises MalformedError."""
@@ -207,17 +209,17 @@
     )
 
 
-def encode(front: int, actions: list[act.Action]) -> bytes:
+def encode_actions(front: int, actions: list[act.Action]) -> bytes:
     """The records for the actions of one instance, in order."""
     return _record(15, _U32.pack(front)) + b"".join(map(_action, actions)) if actions else b""
 
 
-def bail_out(front: int, text: str) -> bytes:
+def encode_internal_error(front: int, text: str) -> bytes:
     """The records that report an internal error in the decisions of one instance."""
     return _record(15, _U32.pack(front)) + _record(10, _blob(text.encode()[:500]))
 
 
-def frame(records: bytes) -> bytes:
+def encode_reply(records: bytes) -> bytes:
     """A reply of these records, with its length before them."""
     return _U32.pack(len(records)) + records
 
--- a/ponddoor/simhost/host.py
+++ b/ponddoor/simhost/host.py
@@ -24,9 +24,9 @@
         if len(body) < size:
             raise MalformedError(f"batch cut short: got {len(body)} of {size} bytes")
         now, replies = ms_to_us(clock_ms), []
-        for front, event in reader.batch(body, count):
+        for front, event in reader.decode_batch(body, count):
             replies.append(_handle(drivers, front, now, event))
-        sink.write(codec.frame(b"".join(replies)))
+        sink.write(codec.encode_reply(b"".join(replies)))
         sink.flush()
 
 
@@ -42,8 +42,8 @@
             return b""
         if front not in drivers:
             raise MalformedError(f"event for instance {front}, which is not running")
-        return codec.encode(front, drivers[front].handle(now, event))
+        return codec.encode_actions(front, drivers[front].handle(now, event))
     except MalformedError:
         raise
     except Exception as problem:  # a fault in the decisions of one instance is reported on the wire
-        return codec.bail_out(front, f"{type(problem).__name__}: {problem}")
+        return codec.encode_internal_error(front, f"{type(problem).__name__}: {problem}")
