--- a/tests/node/test_codecs.py
+++ b/tests/node/test_codecs.py
@@ -10,18 +10,18 @@
 from ponddoor.node import board_codec, server_codec, viewer_codec
 from ponddoor.node.lines import LineReader, UnreadableError
 
-from .conftest import message, parameter, set_up
+from .conftest import encode_message, encode_parameter, setup_request
 
 MESSAGES = st.sampled_from(
     [
-        set_up("1"),
-        set_up("2", group="x"),
-        set_up("3", wait="nan"),
-        set_up("4", at="s-00000001"),
-        message(12, "5", parameter(143, b"\x10")),
-        message(52, "6"),
-        message(6, "7"),
-        message(16, "8"),
+        setup_request("1"),
+        setup_request("2", group="x"),
+        setup_request("3", wait="nan"),
+        setup_request("4", at="s-00000001"),
+        encode_message(12, "5", encode_parameter(143, b"\x10")),
+        encode_message(52, "6"),
+        encode_message(6, "7"),
+        encode_message(16, "8"),
     ]
 )
 PIECES = st.lists(st.one_of(MESSAGES, st.binary(max_size=40)), max_size=6)
@@ -88,7 +88,7 @@
 
 
 def test_what_a_viewer_asks() -> None:
-    (got,), why = viewer_codec.Reader().feed(set_up("1", at="s-00c41f7a", say="a\r\n\u00e9"))
+    (got,), why = viewer_codec.Reader().feed(setup_request("1", at="s-00c41f7a", description="a\r\n\u00e9"))
     assert isinstance(got, viewer_codec.SetupRequest) and not why
     assert (got.sess, got.home, got.span, got.top, got.description) == (
         "0000000000abc001",
