--- a/tests/node/conftest.py
+++ b/tests/node/conftest.py
@@ -1,8 +1,8 @@
 """Runs scenarios of one node on loopback against simulated viewers, media servers and notice boards.
 
-A scenario has one step in each line: `SUBJECT VERB ARGUMENT ...`. `given` sets limits and timeouts before the start.
-`node` is the node, names that begin with `v` or `w` are connections of viewers, with `b` notice boards, and
-all others media servers. `s1` is server 1; a name without a number is bound, when it is used first, to the
+A scenario has one step in each line: `SUBJECT VERB ARGUMENT ...`. `given` sets limits and timeouts before the
+start. `node` is the node, names that begin with `v` or `w` are connections of viewers, with `b` notice boards,
+and all others media servers. `s1` is server 1; a name without a number is bound, when it is used first, to the
 first server without a name that has received a message. Sessions are small numbers.
 
 `receives` expects the very next message. `receives nothing` sends a readiness test and expects its result to
