--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -1,4 +1,4 @@
-"""Every scenario in `scenarios/`."""
+"""Plays every scenario in `scenarios/`: see tests/conftest.py."""
 
 from collections.abc import Callable
 from pathlib import Path
