--- a/tests/many_servers/test_same_decisions.py
+++ b/tests/many_servers/test_same_decisions.py
@@ -1,4 +1,4 @@
-"""The decisions over randomly generated days are, action for action, those recorded before the server table
+"""The decisions over random events are, action for action, those recorded before the server table
 had indices (commit f396c5c).
 
 The digests cover the text of each action with its class and field names. When SetTimer.due, SendPeerMessage
@@ -10,10 +10,11 @@
 
 import pytest
 
-from .drawn_day import DrawnDay
+from .random_run import RandomRun
 
-RECORDED = Path(__file__).parent / "recorded_days.json"
-SHAPES: dict[str, tuple[int, int, int | None]] = {  # servers, fronts, racks where not one of five servers
+RECORDED = Path(__file__).parent / "recorded_runs.json"
+# Servers, fronts, and racks: None for racks of five servers
+SHAPES: dict[str, tuple[int, int, int | None]] = {
     "alone": (40, 1, None),
     "few": (30, 3, None),
     "one-rack": (24, 8, 1),
@@ -25,10 +26,10 @@
 
 
 def digests(shape: str) -> list[str]:
-    """Of each seed."""
-    return [DrawnDay(seed, *SHAPES[shape]).play() for seed in SEEDS]
+    """The digest of the run of each seed."""
+    return [RandomRun(seed, *SHAPES[shape]).play() for seed in SEEDS]
 
 
 @pytest.mark.parametrize("shape", SHAPES)
-def test_a_drawn_day_is_decided_as_it_was(shape: str) -> None:
+def test_decisions_over_random_events_equal_the_recorded_ones(shape: str) -> None:
     assert digests(shape) == json.loads(RECORDED.read_text())[shape]
--- a/tests/many_servers/test_work_per_event.py
+++ b/tests/many_servers/test_work_per_event.py
@@ -1,4 +1,4 @@
-"""The work of one event does not grow with servers that it does not name."""
+"""The work of one event does not grow with the number of servers that it does not concern."""
 
 from collections.abc import Callable
 from dataclasses import replace
@@ -7,95 +7,96 @@
 
 from ponddoor.interface import events as ev
 
-from .fleet import SECOND, DrivenFront, facts, row, steps_of
+from .harness import SECOND, FrontHarness, lines_run_by, make_facts, make_row
 
-COUNTS = (200, 800, 3200, 12_800)
-GROWTH = 1.5  # over the same event with 200 servers: chance draws and sessions differ a little
+SERVER_COUNTS = (200, 800, 3200, 12_800)
+# Lines run relative to the same event with fewest servers; random choices and sessions differ a little
+MAX_GROWTH_RATIO = 1.5
 CHANGED_ROWS = 20
-PLAYING = 6
+PLAYING_SESSIONS = 6
 
 
-def list_change(driven: DrivenFront) -> int:
+def list_change(harness: FrontHarness) -> int:
     """Twenty rows of the list change their state."""
-    rows = [row(driven.site, server, ev.ServerState.DRAINING) for server in range(1, CHANGED_ROWS + 1)]
-    return steps_of(lambda: driven.do(ev.ServerNews(ev.NewsScope.CHANGES, tuple(rows))))
+    rows = [make_row(harness.site, server, ev.ServerState.DRAINING) for server in range(1, CHANGED_ROWS + 1)]
+    return lines_run_by(lambda: harness.feed(ev.ServerNews(ev.NewsScope.CHANGES, tuple(rows))))
 
 
-def replaced_servers(driven: DrivenFront) -> int:
-    """Twenty servers go and twenty new ones come."""
-    first = driven.servers + 1
-    gone = [row(driven.site, server, ev.ServerState.GONE) for server in range(1, CHANGED_ROWS + 1)]
-    new = [replace(row(driven.site, first + n), started_at=driven.now) for n in range(CHANGED_ROWS)]
-    return steps_of(lambda: driven.do(ev.ServerNews(ev.NewsScope.CHANGES, (*gone, *new))))
+def replaced_servers(harness: FrontHarness) -> int:
+    """Twenty servers are gone and twenty new ones are listed."""
+    first = harness.servers + 1
+    gone = [make_row(harness.site, server, ev.ServerState.GONE) for server in range(1, CHANGED_ROWS + 1)]
+    new = [replace(make_row(harness.site, first + n), started_at=harness.now) for n in range(CHANGED_ROWS)]
+    return lines_run_by(lambda: harness.feed(ev.ServerNews(ev.NewsScope.CHANGES, (*gone, *new))))
 
 
-def set_up(driven: DrivenFront) -> int:
-    """A session is placed, with the question to keepers before it."""
-    return steps_of(lambda: driven.set_up(7))
+def set_up(harness: FrontHarness) -> int:
+    """A session is placed, after a query to owners."""
+    return lines_run_by(lambda: harness.set_up(7))
 
 
-def refusal(driven: DrivenFront) -> int:
-    """A session whose title no server may serve is turned away."""
-    cells = driven.site.plant.cells
-    held = [s for s in range(1, driven.servers + 1) if (s % cells - 7) % cells < 2]
-    rows = tuple(row(driven.site, server, ev.ServerState.DRAINING) for server in held)
-    driven.do(ev.ServerNews(ev.NewsScope.CHANGES, rows))
-    return steps_of(lambda: (driven.request(7), driven.run_until(driven.now + SECOND // 4)))
+def refusal(harness: FrontHarness) -> int:
+    """A session is refused because all holders of its title drain."""
+    cells = harness.site.plant.cells
+    holders = [s for s in range(1, harness.servers + 1) if (s % cells - 7) % cells < 2]
+    rows = tuple(make_row(harness.site, server, ev.ServerState.DRAINING) for server in holders)
+    harness.feed(ev.ServerNews(ev.NewsScope.CHANGES, rows))
+    return lines_run_by(lambda: (harness.request(7), harness.run_until(harness.now + SECOND // 4)))
 
 
-def release(driven: DrivenFront) -> int:
+def release(harness: FrontHarness) -> int:
     """A session that plays ends at its server."""
-    number, server = driven.start(11)
+    number, server = harness.start(11)
     ended = ev.Ended(number, 0, server, ev.Result.SERVED, True, SECOND, {})
-    return steps_of(lambda: driven.do(ended))
+    return lines_run_by(lambda: harness.feed(ended))
 
 
-def report(driven: DrivenFront) -> int:
+def report(harness: FrontHarness) -> int:
     """A probe brings a server's load."""
-    return steps_of(lambda: driven.do(ev.Probed(9, 1000, ev.Result.SERVED, {"link_asked": 0.4})))
+    return lines_run_by(lambda: harness.feed(ev.Probed(9, 1000, ev.Result.SERVED, {"link_asked": 0.4})))
 
 
-def failure(driven: DrivenFront) -> int:
-    """A set-up fails at its server and goes on to another."""
-    number, setup = driven.set_up(23)
+def failure(harness: FrontHarness) -> int:
+    """A SETUP fails at its server and another server is tried."""
+    number, setup = harness.set_up(23)
     ended = ev.Ended(number, 0, setup.server, ev.Result.CONNECT_FAILED, False, SECOND, {})
-    return steps_of(lambda: driven.do(ended))
+    return lines_run_by(lambda: harness.feed(ended))
 
 
-def period(driven: DrivenFront) -> int:
+def period(harness: FrontHarness) -> int:
     """Ten seconds in which a few sessions play and nothing else happens."""
-    for home in range(PLAYING):
-        driven.start(30 + 2 * home)
-    return steps_of(lambda: driven.run_until(driven.now + 10 * SECOND))
+    for home in range(PLAYING_SESSIONS):
+        harness.start(30 + 2 * home)
+    return lines_run_by(lambda: harness.run_until(harness.now + 10 * SECOND))
 
 
-def note(driven: DrivenFront) -> int:
+def note(harness: FrontHarness) -> int:
     """A server delivers less than it should, twice."""
-    number, server = driven.start(11)
-    driven.run_until(driven.now + SECOND)
+    number, server = harness.start(11)
+    harness.run_until(harness.now + SECOND)
     notes = [ev.Note(number, ev.NoteKind.DELIVERED, 0.5, server)] * 2
-    return steps_of(lambda: [driven.do(one) for one in notes])
+    return lines_run_by(lambda: [harness.feed(event) for event in notes])
 
 
 EVENTS = (list_change, replaced_servers, set_up, refusal, release, report, failure, note, period)
 
 
 @pytest.mark.parametrize("event", EVENTS, ids=lambda event: event.__name__)
-def test_work_does_not_grow_with_servers_that_an_event_does_not_name(
-    event: Callable[[DrivenFront], int],
+def test_work_does_not_grow_with_servers_that_the_event_does_not_concern(
+    event: Callable[[FrontHarness], int],
 ) -> None:
-    steps = {}
-    for count in COUNTS:
-        driven = DrivenFront(facts(count), count)
-        driven.run_until(driven.now + SECOND)
-        steps[count] = event(driven)
-    assert max(steps.values()) <= GROWTH * steps[COUNTS[0]], steps
+    line_counts = {}
+    for count in SERVER_COUNTS:
+        harness = FrontHarness(make_facts(count), count)
+        harness.run_until(harness.now + SECOND)
+        line_counts[count] = event(harness)
+    assert max(line_counts.values()) <= MAX_GROWTH_RATIO * line_counts[SERVER_COUNTS[0]], line_counts
 
 
-def set_ups(driven: DrivenFront) -> int:
-    """Ten sessions begin, one after another."""
-    everywhere = driven.site.plant.cells
-    return steps_of(lambda: [driven.set_up(7, span=everywhere) for _ in range(10)])
+def set_ups(harness: FrontHarness) -> int:
+    """Ten sessions of a title that all servers hold are placed one after another."""
+    all_cells = harness.site.plant.cells
+    return lines_run_by(lambda: [harness.set_up(7, span=all_cells) for _ in range(10)])
 
 
 @pytest.mark.parametrize(
@@ -105,12 +106,12 @@
 )
 @pytest.mark.parametrize("racks", [1, 8, None], ids=["one rack", "few racks", "racks of five"])
 def test_work_does_not_grow_where_every_server_holds_the_title(
-    event: Callable[[DrivenFront], int], racks: int | None
+    event: Callable[[FrontHarness], int], racks: int | None
 ) -> None:
-    steps = {}
-    for count in COUNTS[1:]:  # of 200 servers many are drawn twice
-        driven = DrivenFront(facts(count, racks=racks), count)
-        driven.run_until(driven.now + SECOND)
-        driven.set_up(3, span=driven.site.plant.cells)  # the sums of large racks are kept from now on
-        steps[count] = event(driven)
-    assert max(steps.values()) <= GROWTH * steps[COUNTS[1]], steps
+    line_counts = {}
+    for count in SERVER_COUNTS[1:]:  # with 200 servers, many are sampled twice
+        harness = FrontHarness(make_facts(count, racks=racks), count)
+        harness.run_until(harness.now + SECOND)
+        harness.set_up(3, span=harness.site.plant.cells)  # creates the sums of large racks
+        line_counts[count] = event(harness)
+    assert max(line_counts.values()) <= MAX_GROWTH_RATIO * line_counts[SERVER_COUNTS[1]], line_counts
--- a/tests/node/test_work_per_turn.py
+++ b/tests/node/test_work_per_turn.py
@@ -15,7 +15,7 @@
 from ponddoor.obligations.lease import SILENT_LIMIT
 from ponddoor.settings.site import loads
 from tests.front.conftest import site_text
-from tests.many_servers.fleet import SECOND, DrivenFront, facts, steps_of
+from tests.many_servers.harness import SECOND, FrontHarness, lines_run_by, make_facts
 
 SERVER_COUNTS = (200, 3200, 12_800)
 MAX_GROWTH = 1.5
@@ -26,7 +26,7 @@
     """The server list and the links of a node, without sockets."""
 
     def __init__(self, servers: int) -> None:
-        driven = DrivenFront(facts(servers), servers)
+        driven = FrontHarness(make_facts(servers), servers)
         self.roster = Roster(("north",), ("box",), driven.site.plant.cells, 0)
         engine = Engine(driven.front, driven.site, Gate(loads(site_text()).limits, LagMeter(1 << 60)))
         pump = Pump(engine, lambda effect: None)
@@ -86,22 +86,22 @@
 def list_change(server_side: ServerSide) -> int:
     """The steps of a list change in which CHANGED_ROWS servers start to drain."""
     changed = [entry(number, server_side.roster.cells, "draining") for number in range(1, CHANGED_ROWS + 1)]
-    return steps_of(lambda: server_side.update_list(changed, server_side.roster.version))
+    return lines_run_by(lambda: server_side.update_list(changed, server_side.roster.version))
 
 
 def tick(server_side: ServerSide) -> int:
     """The steps of the tick, which runs every quarter of a second."""
-    return steps_of(lambda: server_side.servers.tick(clock(), 20 * SECOND))
+    return lines_run_by(lambda: server_side.servers.tick(clock(), 20 * SECOND))
 
 
 def connect(server_side: ServerSide) -> int:
     """The steps of starting to connect to one server."""
-    return steps_of(server_side.servers.links[7].connect)
+    return lines_run_by(server_side.servers.links[7].connect)
 
 
 def enable_setups(server_side: ServerSide) -> int:
     """The steps of allowing SETUPs."""
-    return steps_of(server_side.servers.enable_setups)
+    return lines_run_by(server_side.servers.enable_setups)
 
 
 @pytest.mark.parametrize(
