--- a/ponddoor/interface/words.py
+++ b/ponddoor/interface/words.py
@@ -1,48 +1,68 @@
-"""What fronts say to one another, and the bytes of it. A message holds 225 bytes; longer words are split.
+"""Messages between fronts and their encoding. A datagram holds up to 225 bytes; a longer list of rows is
+split.
 
-Every word but a question names its teller's `life`. What is empty or of no known kind says nothing; what is
-cut short is read as far as it goes."""
+Every message but a query carries the sender's incarnation. `unpack` returns None for a datagram that is
+empty or of an unknown kind, and reads a truncated one up to its last complete row. Ages are in
+microseconds, rates in kB/s."""
 
 import struct
 from dataclasses import dataclass
 from enum import IntEnum
 
-_TELLING, _RATE, _PLAIN = struct.Struct(">II"), struct.Struct(">IHBBBBBBB"), struct.Struct(">IH")
-_QUESTION, _OURS_ASKED = struct.Struct(">HIII"), struct.Struct(">H")
-_ANSWERED, _ROOM, _BRIEF = struct.Struct(">IHH"), struct.Struct(">IhHHBBBB"), struct.Struct(">IhHH")
-_LIFE, _LENT, _GROUP = struct.Struct(">I"), struct.Struct(">IIH"), struct.Struct(">H")
-_HEARD, _OF, _ROW = struct.Struct(">HIB"), struct.Struct(">HB"), struct.Struct(">HIBH")
-_SAW, _COUNT = struct.Struct(">IBBB"), struct.Struct(">IB")
-_KB, _AGE, _SPAN, _NONE = 4.0, 20_000, 40_000, 255  # steps of rates and ages, no sample
-_WARM = 0x8000  # of the rate of the teller, or of the asker, or that a send is granted: the highest bit
-_NOBODY = 0xFFFF
+# Headers
+_INCARNATION = struct.Struct(">I")
+_RATE_UPDATE = struct.Struct(">II")
+_HOLDERS_QUERY = struct.Struct(">HIII")
+_IN_USE_QUERY = struct.Struct(">H")
+_QUERY_REPLY = struct.Struct(">IHH")
+_SHARE_LEASE = struct.Struct(">IIH")
+_PING = struct.Struct(">HIB")
+_PING_TARGET = struct.Struct(">HB")
+_BOOTSTRAP_REPLY = struct.Struct(">IB")
+# Rows
+_RATE = struct.Struct(">IHBBBBBBB")
+_PLAIN_RATE = struct.Struct(">IH")
+_STATUS = struct.Struct(">IhHHBBBB")
+_BRIEF_STATUS = struct.Struct(">IhHH")
+_GROUP = struct.Struct(">H")
+_MEMBER_ROW = struct.Struct(">HIBH")
+_OBSERVATION = struct.Struct(">IBBB")
+
+_RATE_STEP_KB = 4.0  # unit of rates on the wire
+_SAMPLE_AGE_STEP_US = 20_000
+_OUTCOME_AGE_STEP_US = 40_000
+_NO_SAMPLE = 255
+_FLAG = 0x8000  # highest bit of a rate: warm for a sent rate or the asker's rate, granted for the rate in all
+_NO_FRONT = 0xFFFF
 MAX_DATAGRAM_BYTES = 225
-MAX_RATES = (MAX_DATAGRAM_BYTES - 1 - _TELLING.size) // _RATE.size  # rows a message
-MAX_PLAIN_RATES = (MAX_DATAGRAM_BYTES - 1 - _TELLING.size) // _PLAIN.size
-MAX_STATUSES = (MAX_DATAGRAM_BYTES - 1 - _ANSWERED.size) // _ROOM.size
-MAX_BRIEF_STATUSES = (MAX_DATAGRAM_BYTES - 1 - _ANSWERED.size) // _BRIEF.size
-MAX_MEMBER_ROWS = 8  # of presence in a message
+MAX_RATES = (MAX_DATAGRAM_BYTES - 1 - _RATE_UPDATE.size) // _RATE.size  # rows a datagram
+MAX_PLAIN_RATES = (MAX_DATAGRAM_BYTES - 1 - _RATE_UPDATE.size) // _PLAIN_RATE.size
+MAX_STATUSES = (MAX_DATAGRAM_BYTES - 1 - _QUERY_REPLY.size) // _STATUS.size
+MAX_BRIEF_STATUSES = (MAX_DATAGRAM_BYTES - 1 - _QUERY_REPLY.size) // _BRIEF_STATUS.size
+MAX_MEMBER_ROWS = 8
 MAX_GROUPS = 64
-MAX_OBSERVATIONS = (MAX_DATAGRAM_BYTES - 1 - _COUNT.size - MAX_MEMBER_ROWS * _ROW.size) // _SAW.size
+MAX_OBSERVATIONS = (
+    MAX_DATAGRAM_BYTES - 1 - _BOOTSTRAP_REPLY.size - MAX_MEMBER_ROWS * _MEMBER_ROW.size
+) // _OBSERVATION.size
 
 
 class _Kind(IntEnum):
-    """The first byte of a message."""
-
-    CHANGES = 0
-    ALL = 1
-    OURS = 2
-    HOLDERS = 3
-    ANSWER = 4
-    BEGUN = 5
-    LENDING = 6
-    PING = 7
-    ACK = 8
-    VIA = 9
-    ASK_NEWS = 10
-    NEWS = 11
-    BRIEF = 12
-    SAW = 13  # changes, with what came to the teller
+    """The first byte of a datagram. The member names in lower case are metric labels."""
+
+    CHANGES = 0  # RateUpdate of the rates that changed
+    ALL = 1  # RateUpdate of all rates
+    OURS = 2  # InUseQuery
+    HOLDERS = 3  # HoldersQuery
+    ANSWER = 4  # QueryReply
+    BEGUN = 5  # FullUpdateRequest
+    LENDING = 6  # ShareLease
+    PING = 7  # Ping
+    ACK = 8  # Ack
+    VIA = 9  # PingRequest
+    ASK_NEWS = 10  # BootstrapRequest
+    NEWS = 11  # BootstrapReply
+    BRIEF = 12  # QueryReply without what others observed
+    SAW = 13  # RateUpdate of changes, with the load, delivery and set-up outcomes that the sender observed
 
 
 _NAMES = {kind.value: kind.name.lower().replace("_", "-") for kind in _Kind}
@@ -51,7 +71,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Sample:
-    """What was reported or noted of a server, and how long ago."""
+    """A figure that was reported or noted of a server, and its age."""
 
     value: float
     age: int
@@ -59,7 +79,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SetupOutcomes:
-    """Set-ups at a server that failed and that went well lately, and how long ago the last of each did."""
+    """Recent set-ups at a server that failed and that succeeded, and the age of the last of each."""
 
     failed: int
     succeeded: int
@@ -69,8 +89,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerRate:
-    """What the teller asks of a server, with the load and the share delivered that came to it alone, whether
-    it has a session there that began before the server could be cold, and how its set-ups there ended."""
+    """The rate that the sender requests of a server, with what only the sender received about it.
+
+    `load` is its reported load, `delivered` the delivered share of a requested rate, `outcomes` how the
+    sender's set-ups ended there. `warm`: the sender has a session there that began before the server could
+    be cold."""
 
     server: int
     rate_kb: float
@@ -82,7 +105,8 @@
 
 @dataclass(frozen=True, slots=True)
 class RateUpdate:
-    """The teller's rates: all of them that the hearer keeps, or those that changed."""
+    """The sender's rates: if `full`, all at servers whose groups the receiver owns, else those that
+    changed."""
 
     incarnation: int
     stamp: int
@@ -92,14 +116,14 @@
 
 @dataclass(frozen=True, slots=True)
 class InUseQuery:
-    """A question: how the servers stand where the asker has sessions."""
+    """Asks for the status of the servers at which the sender has sessions."""
 
     number: int
 
 
 @dataclass(frozen=True, slots=True)
 class HoldersQuery:
-    """A question: how the best holders of a title stand."""
+    """Asks for the status of the best holders of a title."""
 
     number: int
     home: int
@@ -109,9 +133,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerStatus:
-    """How a server stands: its idle, what is asked of it, what of that is the asker's, whether a session
-    plays there that began before the server could be cold, what others than the asker saw of it (`against`:
-    so many), and whether the asker may send there now what needs a grant."""
+    """The status of a server: its residual capacity, and the rate requested of it in all and by the asker.
+
+    `warm`: a session plays there that began before the server could be cold. `witnesses_against` and
+    `outcomes` are what others than the asker observed of it. `granted`: the asker may now send a set-up
+    that needs a grant."""
 
     server: int
     idle_kb: float
@@ -125,25 +151,27 @@
 
 @dataclass(frozen=True, slots=True)
 class QueryReply:
-    """The answer to a question. `lend`: the number under which the asker may lend its parts."""
+    """The reply to a query. The asker may lend its budget shares in answer to `lease_request`; 0 is none."""
 
     incarnation: int
     number: int
     lease_request: int
     statuses: tuple[ServerStatus, ...]
-    brief: bool = False  # without what others saw: of where the asker plays
+    brief: bool = False  # reply to an InUseQuery, without what others observed
 
 
 @dataclass(frozen=True, slots=True)
 class FullUpdateRequest:
-    """The teller has begun, or begun to keep a group: it is to be told all."""
+    """Asks for all rates: the sender has started, or has become an owner of a group."""
 
     incarnation: int
 
 
 @dataclass(frozen=True, slots=True)
 class ShareLease:
-    """The teller lends its parts of these groups; `keeper` is the hearer's life as it put the question."""
+    """Lends the sender's budget shares of these groups to the receiver.
+
+    `borrower_incarnation` and `number` are those of the receiver's lease request."""
 
     incarnation: int
     borrower_incarnation: int
@@ -153,7 +181,9 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberRow:
-    """A front's life and bump, and who accuses it of silence."""
+    """The membership state of a front. `accuser` is a front that suspects it, None if it is not suspected.
+
+    A front increments `refutations` to refute a suspicion within an incarnation."""
 
     front: int
     incarnation: int
@@ -163,7 +193,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Ping:
-    """Are you there?"""
+    """Asks the receiver to acknowledge."""
 
     number: int
     incarnation: int
@@ -173,7 +203,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Ack:
-    """`of` is there; or it did not answer the teller either."""
+    """Acknowledges a ping of `target`; if `missed`, `target` did not answer the indirect ping either."""
 
     number: int
     incarnation: int
@@ -185,7 +215,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PingRequest:
-    """Ping `target` for the teller."""
+    """Asks the receiver to ping `target` for the sender (SWIM's ping-req)."""
 
     number: int
     incarnation: int
@@ -196,14 +226,14 @@
 
 @dataclass(frozen=True, slots=True)
 class BootstrapRequest:
-    """The teller has begun: what is known of fronts and servers?"""
+    """Asks what is known of fronts and servers: the sender has started."""
 
     incarnation: int
 
 
 @dataclass(frozen=True, slots=True)
 class BootstrapReply:
-    """What the teller knows: fronts in trouble, and what it saw of servers itself."""
+    """Fronts that the sender takes for suspect or dead, and its own set-up outcomes by server."""
 
     incarnation: int
     rows: tuple[MemberRow, ...]
@@ -225,190 +255,262 @@
 )
 
 
-def pack(word: Message) -> list[bytes]:
-    """The messages that say a word."""
-    match word:
-        case RateUpdate(life, stamp, rates, whole):
+def pack(message: Message) -> list[bytes]:
+    """Encodes a message as one or more datagrams."""
+    match message:
+        case RateUpdate(incarnation, stamp, rates, full):
             rows = [
                 _RATE.pack(
                     r.server,
-                    _flagged(r.rate_kb, r.warm),
-                    *_sample(r.load),
-                    *_sample(r.delivered),
-                    *_ends(r.outcomes),
+                    _pack_flagged(r.rate_kb, r.warm),
+                    *_pack_sample(r.load),
+                    *_pack_sample(r.delivered),
+                    *_pack_outcomes(r.outcomes),
                 )
                 for r in rates
             ]
-            head, more = _TELLING.pack(life, stamp), any(r.load or r.delivered or r.outcomes for r in rates)
-            if more and not whole:
-                return _split(_Kind.SAW, _Kind.SAW, head, rows, MAX_RATES)
-            rows = [row[: _PLAIN.size] for row in rows]
-            return _split(_Kind.ALL if whole else _Kind.CHANGES, _Kind.CHANGES, head, rows, MAX_PLAIN_RATES)
+            header, has_samples = (
+                _RATE_UPDATE.pack(incarnation, stamp),
+                any(r.load or r.delivered or r.outcomes for r in rates),
+            )
+            if has_samples and not full:
+                return _split(_Kind.SAW, _Kind.SAW, header, rows, MAX_RATES)
+            rows = [row[: _PLAIN_RATE.size] for row in rows]
+            return _split(_Kind.ALL if full else _Kind.CHANGES, _Kind.CHANGES, header, rows, MAX_PLAIN_RATES)
         case InUseQuery(number):
-            return [bytes([_Kind.OURS]) + _OURS_ASKED.pack(number)]
+            return [bytes([_Kind.OURS]) + _IN_USE_QUERY.pack(number)]
         case HoldersQuery(number, home, span, zone):
-            return [bytes([_Kind.HOLDERS]) + _QUESTION.pack(number, home, span, zone)]
-        case QueryReply(life, number, lend, rooms, brief):
+            return [bytes([_Kind.HOLDERS]) + _HOLDERS_QUERY.pack(number, home, span, zone)]
+        case QueryReply(incarnation, number, lease_request, statuses, brief):
             rows = [
-                _ROOM.pack(
-                    r.server,
-                    _steps(r.idle_kb, 32767, -32768),
-                    _flagged(r.asked_kb, r.granted),
-                    _flagged(r.asker_kb, r.warm),
-                    min(r.witnesses_against, 255),
-                    *_ends(r.outcomes),
+                _STATUS.pack(
+                    s.server,
+                    _rate_steps(s.idle_kb, 32767, -32768),
+                    _pack_flagged(s.asked_kb, s.granted),
+                    _pack_flagged(s.asker_kb, s.warm),
+                    min(s.witnesses_against, 255),
+                    *_pack_outcomes(s.outcomes),
                 )
-                for r in rooms
+                for s in statuses
             ]
-            kind, most = _Kind.ANSWER, MAX_STATUSES
+            kind, max_rows = _Kind.ANSWER, MAX_STATUSES
             if brief:
-                rows, kind, most = [row[: _BRIEF.size] for row in rows], _Kind.BRIEF, MAX_BRIEF_STATUSES
-            return _split(kind, kind, _ANSWERED.pack(life, number, lend), rows, most)
-        case FullUpdateRequest(life):
-            return [bytes([_Kind.BEGUN]) + _LIFE.pack(life)]
-        case ShareLease(life, keeper, number, groups):
-            lent = b"".join(map(_GROUP.pack, groups))
-            return [bytes([_Kind.LENDING]) + _LENT.pack(life, keeper, number) + lent]
-        case Ping(number, life, bump, told):
-            return [bytes([_Kind.PING]) + _HEARD.pack(number, life, bump) + _rows(told)]
-        case Ack(number, life, bump, told, of, missed):
-            return [bytes([_Kind.ACK]) + _HEARD.pack(number, life, bump) + _OF.pack(of, missed) + _rows(told)]
-        case PingRequest(number, life, bump, told, target):
-            return [bytes([_Kind.VIA]) + _HEARD.pack(number, life, bump) + _OF.pack(target, 0) + _rows(told)]
-        case BootstrapRequest(life):
-            return [bytes([_Kind.ASK_NEWS]) + _LIFE.pack(life)]
-        case BootstrapReply(life, told, saw):
-            seen = b"".join(_SAW.pack(server, *_ends(ends)) for server, ends in saw)
-            return [bytes([_Kind.NEWS]) + _COUNT.pack(life, len(told)) + _rows(told) + seen]
+                rows, kind, max_rows = (
+                    [row[: _BRIEF_STATUS.size] for row in rows],
+                    _Kind.BRIEF,
+                    MAX_BRIEF_STATUSES,
+                )
+            return _split(kind, kind, _QUERY_REPLY.pack(incarnation, number, lease_request), rows, max_rows)
+        case FullUpdateRequest(incarnation):
+            return [bytes([_Kind.BEGUN]) + _INCARNATION.pack(incarnation)]
+        case ShareLease(incarnation, borrower_incarnation, number, groups):
+            packed_groups = b"".join(map(_GROUP.pack, groups))
+            return [
+                bytes([_Kind.LENDING])
+                + _SHARE_LEASE.pack(incarnation, borrower_incarnation, number)
+                + packed_groups
+            ]
+        case Ping(number, incarnation, refutations, member_rows):
+            return [
+                bytes([_Kind.PING])
+                + _PING.pack(number, incarnation, refutations)
+                + _pack_member_rows(member_rows)
+            ]
+        case Ack(number, incarnation, refutations, member_rows, target, missed):
+            return [
+                bytes([_Kind.ACK])
+                + _PING.pack(number, incarnation, refutations)
+                + _PING_TARGET.pack(target, missed)
+                + _pack_member_rows(member_rows)
+            ]
+        case PingRequest(number, incarnation, refutations, member_rows, target):
+            return [
+                bytes([_Kind.VIA])
+                + _PING.pack(number, incarnation, refutations)
+                + _PING_TARGET.pack(target, 0)
+                + _pack_member_rows(member_rows)
+            ]
+        case BootstrapRequest(incarnation):
+            return [bytes([_Kind.ASK_NEWS]) + _INCARNATION.pack(incarnation)]
+        case BootstrapReply(incarnation, member_rows, observations):
+            packed_observations = b"".join(
+                _OBSERVATION.pack(server, *_pack_outcomes(outcomes)) for server, outcomes in observations
+            )
+            return [
+                bytes([_Kind.NEWS])
+                + _BOOTSTRAP_REPLY.pack(incarnation, len(member_rows))
+                + _pack_member_rows(member_rows)
+                + packed_observations
+            ]
 
 
 def unpack(payload: bytes) -> Message | None:
-    """What a message says; None if nothing."""
+    """Decodes a datagram; None if it holds no message."""
     kind, body = payload[0] if payload else -1, payload[1:]
     try:
         return _unpack(kind, body)
-    except struct.error:  # cut short where it can't be
+    except struct.error:  # truncated within a header
         return None
 
 
 def kind_of(payload: bytes) -> str:
-    """The name of a message's kind, to be counted under; `other` where it is none of these."""
+    """The metric label of a datagram's kind; `other` if the kind is unknown."""
     return _NAMES.get(payload[0], "other") if payload else "other"
 
 
 def _unpack(kind: int, body: bytes) -> Message | None:
     match kind:
         case _Kind.CHANGES | _Kind.ALL | _Kind.SAW:
-            life, stamp = _TELLING.unpack_from(body)
-            rows = _whole(_RATE if kind == _Kind.SAW else _PLAIN, body[_TELLING.size :])
-            rates = tuple(_read_rate(*row) for row in rows)
-            return RateUpdate(life, stamp, rates, kind == _Kind.ALL)
+            incarnation, stamp = _RATE_UPDATE.unpack_from(body)
+            rows = _complete_rows(_RATE if kind == _Kind.SAW else _PLAIN_RATE, body[_RATE_UPDATE.size :])
+            rates = tuple(_unpack_rate(*row) for row in rows)
+            return RateUpdate(incarnation, stamp, rates, kind == _Kind.ALL)
         case _Kind.OURS:
-            return InUseQuery(*_OURS_ASKED.unpack_from(body))
+            return InUseQuery(*_IN_USE_QUERY.unpack_from(body))
         case _Kind.HOLDERS:
-            return HoldersQuery(*_QUESTION.unpack_from(body))
+            return HoldersQuery(*_HOLDERS_QUERY.unpack_from(body))
         case _Kind.ANSWER | _Kind.BRIEF:
-            life, number, lend = _ANSWERED.unpack_from(body)
-            brief, after = kind == _Kind.BRIEF, body[_ANSWERED.size :]
-            rows = _whole(_BRIEF if brief else _ROOM, after)
-            return QueryReply(life, number, lend, tuple(_read_room(*row) for row in rows), brief)
+            incarnation, number, lease_request = _QUERY_REPLY.unpack_from(body)
+            brief, rest = kind == _Kind.BRIEF, body[_QUERY_REPLY.size :]
+            rows = _complete_rows(_BRIEF_STATUS if brief else _STATUS, rest)
+            return QueryReply(
+                incarnation, number, lease_request, tuple(_unpack_status(*row) for row in rows), brief
+            )
         case _Kind.BEGUN:
-            return FullUpdateRequest(*_LIFE.unpack_from(body))
+            return FullUpdateRequest(*_INCARNATION.unpack_from(body))
         case _Kind.LENDING:
-            life, keeper, number = _LENT.unpack_from(body)
+            incarnation, borrower_incarnation, number = _SHARE_LEASE.unpack_from(body)
             return ShareLease(
-                life, keeper, number, tuple(row[0] for row in _whole(_GROUP, body[_LENT.size :]))
+                incarnation,
+                borrower_incarnation,
+                number,
+                tuple(row[0] for row in _complete_rows(_GROUP, body[_SHARE_LEASE.size :])),
             )
         case _Kind.PING:
-            number, life, bump = _HEARD.unpack_from(body)
-            return Ping(number, life, bump, _read_rows(body[_HEARD.size :]))
+            number, incarnation, refutations = _PING.unpack_from(body)
+            return Ping(number, incarnation, refutations, _unpack_member_rows(body[_PING.size :]))
         case _Kind.ACK | _Kind.VIA:
-            number, life, bump = _HEARD.unpack_from(body)
-            of, missed = _OF.unpack_from(body, _HEARD.size)
-            told = _read_rows(body[_HEARD.size + _OF.size :])
+            number, incarnation, refutations = _PING.unpack_from(body)
+            target, missed = _PING_TARGET.unpack_from(body, _PING.size)
+            member_rows = _unpack_member_rows(body[_PING.size + _PING_TARGET.size :])
             if kind == _Kind.VIA:
-                return PingRequest(number, life, bump, told, of)
-            return Ack(number, life, bump, told, of, missed > 0)
+                return PingRequest(number, incarnation, refutations, member_rows, target)
+            return Ack(number, incarnation, refutations, member_rows, target, missed > 0)
         case _Kind.ASK_NEWS:
-            return BootstrapRequest(*_LIFE.unpack_from(body))
+            return BootstrapRequest(*_INCARNATION.unpack_from(body))
         case _Kind.NEWS:
-            life, count = _COUNT.unpack_from(body)
-            after = _COUNT.size + count * _ROW.size
-            seen = _whole(_SAW, body[after:])
-            saw = tuple((server, _read_ends(*ends) or SetupOutcomes(0, 0)) for server, *ends in seen)
-            return BootstrapReply(life, _read_rows(body[_COUNT.size : after]), saw)
+            incarnation, count = _BOOTSTRAP_REPLY.unpack_from(body)
+            rows_end = _BOOTSTRAP_REPLY.size + count * _MEMBER_ROW.size
+            observation_rows = _complete_rows(_OBSERVATION, body[rows_end:])
+            observations = tuple(
+                (server, _unpack_outcomes(*outcomes) or SetupOutcomes(0, 0))
+                for server, *outcomes in observation_rows
+            )
+            return BootstrapReply(
+                incarnation, _unpack_member_rows(body[_BOOTSTRAP_REPLY.size : rows_end]), observations
+            )
     return None
 
 
-def _read_rate(
-    at: int, kb: int, load: int = _NONE, age: int = 0, share: int = _NONE, since: int = 0, *ends: int
+def _unpack_rate(
+    server: int,
+    rate: int,
+    load: int = _NO_SAMPLE,
+    load_age: int = 0,
+    delivered: int = _NO_SAMPLE,
+    delivered_age: int = 0,
+    *packed_outcomes: int,
 ) -> ServerRate:
-    told = _read_ends(*ends) if ends else None
-    return ServerRate(at, (kb & ~_WARM) * _KB, _read(load, age), _read(share, since), kb >= _WARM, told)
+    outcomes = _unpack_outcomes(*packed_outcomes) if packed_outcomes else None
+    return ServerRate(
+        server,
+        (rate & ~_FLAG) * _RATE_STEP_KB,
+        _unpack_sample(load, load_age),
+        _unpack_sample(delivered, delivered_age),
+        rate >= _FLAG,
+        outcomes,
+    )
 
 
-def _read_room(at: int, idle: int, asked: int, theirs: int, against: int = 0, *ends: int) -> ServerStatus:
-    told = _read_ends(*ends) if ends else None
+def _unpack_status(
+    server: int, idle: int, asked: int, by_asker: int, witnesses_against: int = 0, *packed_outcomes: int
+) -> ServerStatus:
+    outcomes = _unpack_outcomes(*packed_outcomes) if packed_outcomes else None
     return ServerStatus(
-        at,
-        idle * _KB,
-        (asked & ~_WARM) * _KB,
-        (theirs & ~_WARM) * _KB,
-        theirs >= _WARM,
-        against,
-        told or SetupOutcomes(0, 0),
-        asked >= _WARM,
+        server,
+        idle * _RATE_STEP_KB,
+        (asked & ~_FLAG) * _RATE_STEP_KB,
+        (by_asker & ~_FLAG) * _RATE_STEP_KB,
+        by_asker >= _FLAG,
+        witnesses_against,
+        outcomes or SetupOutcomes(0, 0),
+        asked >= _FLAG,
     )
 
 
-def _whole(row: struct.Struct, body: bytes) -> list[tuple[int, ...]]:
+def _complete_rows(row: struct.Struct, body: bytes) -> list[tuple[int, ...]]:
     return list(row.iter_unpack(body[: len(body) // row.size * row.size]))
 
 
-def _split(first: int, further: int, head: bytes, rows: list[bytes], most: int) -> list[bytes]:
-    starts = range(0, max(len(rows), 1), most)
-    return [bytes([further if at else first]) + head + b"".join(rows[at : at + most]) for at in starts]
+def _split(
+    first_kind: int, further_kind: int, header: bytes, rows: list[bytes], max_rows: int
+) -> list[bytes]:
+    starts = range(0, max(len(rows), 1), max_rows)
+    return [
+        bytes([further_kind if start else first_kind]) + header + b"".join(rows[start : start + max_rows])
+        for start in starts
+    ]
 
 
-def _steps(kb: float, most: int, least: int = 0) -> int:
-    return max(least, min(round(kb / _KB), most))
+def _rate_steps(rate_kb: float, most: int, least: int = 0) -> int:
+    return max(least, min(round(rate_kb / _RATE_STEP_KB), most))
 
 
-def _flagged(kb: float, warm: bool) -> int:
-    return _steps(kb, _WARM - 1) | (_WARM if warm else 0)
+def _pack_flagged(rate_kb: float, flag: bool) -> int:
+    return _rate_steps(rate_kb, _FLAG - 1) | (_FLAG if flag else 0)
 
 
-def _sample(sample: Sample | None) -> tuple[int, int]:
-    return (min(round(sample.value * 100), 254), min(sample.age // _AGE, 255)) if sample else (_NONE, _NONE)
+def _pack_sample(sample: Sample | None) -> tuple[int, int]:
+    return (
+        (min(round(sample.value * 100), 254), min(sample.age // _SAMPLE_AGE_STEP_US, 255))
+        if sample
+        else (_NO_SAMPLE, _NO_SAMPLE)
+    )
 
 
-def _read(figure: int, age: int) -> Sample | None:
-    return None if figure == _NONE else Sample(figure / 100, age * _AGE)
+def _unpack_sample(value: int, age: int) -> Sample | None:
+    return None if value == _NO_SAMPLE else Sample(value / 100, age * _SAMPLE_AGE_STEP_US)
 
 
-def _ends(ends: SetupOutcomes | None) -> tuple[int, int, int]:
-    """Tries in half a byte each, and both ages."""
-    if ends is None or not (ends.failed or ends.succeeded):
+def _pack_outcomes(outcomes: SetupOutcomes | None) -> tuple[int, int, int]:
+    """Both counts in half a byte each, and both ages in steps."""
+    if outcomes is None or not (outcomes.failed or outcomes.succeeded):
         return 0, 0, 0
-    counts = min(ends.failed, 15) << 4 | min(ends.succeeded, 15)
-    return counts, min(ends.failed_age // _SPAN, 255), min(ends.succeeded_age // _SPAN, 255)
+    counts = min(outcomes.failed, 15) << 4 | min(outcomes.succeeded, 15)
+    return (
+        counts,
+        min(outcomes.failed_age // _OUTCOME_AGE_STEP_US, 255),
+        min(outcomes.succeeded_age // _OUTCOME_AGE_STEP_US, 255),
+    )
 
 
-def _read_ends(counts: int, failed_age: int, well_age: int) -> SetupOutcomes | None:
+def _unpack_outcomes(counts: int, failed_age: int, succeeded_age: int) -> SetupOutcomes | None:
     if not counts:
         return None
-    return SetupOutcomes(counts >> 4, counts & 15, failed_age * _SPAN, well_age * _SPAN)
+    return SetupOutcomes(
+        counts >> 4, counts & 15, failed_age * _OUTCOME_AGE_STEP_US, succeeded_age * _OUTCOME_AGE_STEP_US
+    )
 
 
-def _rows(rows: tuple[MemberRow, ...]) -> bytes:
+def _pack_member_rows(rows: tuple[MemberRow, ...]) -> bytes:
     return b"".join(
-        _ROW.pack(r.front, r.incarnation, r.refutations, _NOBODY if r.accuser is None else r.accuser)
+        _MEMBER_ROW.pack(r.front, r.incarnation, r.refutations, _NO_FRONT if r.accuser is None else r.accuser)
         for r in rows[:MAX_MEMBER_ROWS]
     )
 
 
-def _read_rows(body: bytes) -> tuple[MemberRow, ...]:
+def _unpack_member_rows(body: bytes) -> tuple[MemberRow, ...]:
     return tuple(
-        MemberRow(front, life, bump, None if accuser == _NOBODY else accuser)
-        for front, life, bump, accuser in _whole(_ROW, body)[:MAX_MEMBER_ROWS]
+        MemberRow(front, incarnation, refutations, None if accuser == _NO_FRONT else accuser)
+        for front, incarnation, refutations, accuser in _complete_rows(_MEMBER_ROW, body)[:MAX_MEMBER_ROWS]
     )
