--- a/ponddoor/fleet/explore.py
+++ b/ponddoor/fleet/explore.py
@@ -31,7 +31,8 @@
     def key(self) -> str:
         """What tells two states apart."""
         lenders = [
-            (n, one.number, list(one.asked.items()), one.until) for n, one in self.keeper._lenders.items()
+            (n, one.number, list(one.requested_at.items()), one.until)
+            for n, one in self.keeper._lenders.items()
         ]
         owner = (self.owner._own_share_usable_at, self.owner._lent)
         return repr(
