--- a/ponddoor/fleet/presence.py
+++ b/ponddoor/fleet/presence.py
@@ -17,7 +17,7 @@
 from enum import Enum
 
 from ponddoor.interface import words
-from ponddoor.interface.chance import LONG_AGO, Chance
+from ponddoor.interface.chance import LONG_AGO, SeededRandom
 
 DAY_TENTHS_S = 864_000  # a day in the unit of incarnations, tenths of a second
 PING_REQUEST_FANOUT = 3  # fronts that are asked to ping one that did not answer
@@ -93,7 +93,7 @@
     return."""
 
     def __init__(self, me: int, fronts: int, incarnation: int, now: int, timing: Timing, seed: int) -> None:
-        self.me, self.fronts, self.timing, self.chance = me, fronts, timing, Chance(seed)
+        self.me, self.fronts, self.timing, self.chance = me, fronts, timing, SeededRandom(seed)
         self.chance.draw(2)
         self.incarnation, self.refutations, self._first_incarnation, self._started_at = (
             incarnation,
