--- a/ponddoor/fleet/__init__.py
+++ b/ponddoor/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""What the fronts share: who is there, counts, evidence on servers, and parts of budgets. Free of I/O."""
+"""What fronts share: membership, demand counts, evidence on servers and budget shares. Free of I/O."""
--- a/ponddoor/fleet/shown.py
+++ b/ponddoor/fleet/shown.py
@@ -1,4 +1,4 @@
-"""What one front believes of the fleet, for people: fronts, servers, parts, counts, with ages and bounds."""
+"""One front's view of the fleet for display: fronts, groups, servers, budget shares, with ages and bounds."""
 
 from typing import Any
 
@@ -7,13 +7,15 @@
 
 
 def shown(fleet: Fleet, servers: list[int]) -> dict[str, Any]:
-    """All of it, as JSON has it. Ages and times in milliseconds, rates in kB a second."""
+    """The body of GET /fleet. Ages and times are in milliseconds, rates in kB/s.
+
+    `life` is an incarnation; the `keepers` of a group are its owners, and it is `whole` if it is synced."""
     now, presence = fleet.now, fleet.presence
     fronts = {
         str(front): {
             "stands": presence.state_of(front).value,
             "life": presence.incarnation_of(front),
-            "heard_ms_ago": _age(now, member.heard_at),
+            "heard_ms_ago": _age_ms(now, member.heard_at),
             "accused_by": sorted(member.accusers),
         }
         for front, member in presence.members.items()
@@ -29,7 +31,7 @@
     }
     rows: dict[str, Any] = {}
     for server in servers:
-        view = fleet.evidence.summary(now, server, fleet.me)
+        summary = fleet.evidence.summary(now, server, fleet.me)
         bounds = fleet.counts.bounds(now, server, fleet.terms.timing.max_suspicion)
         rows[str(server)] = {
             "asked_by_others": {
@@ -38,11 +40,11 @@
                 "most": bounds.most,
                 "oldest_ms": bounds.oldest_age // 1000,
             },
-            "against": view.witnesses_against,
-            "failed": view.failed,
-            "tries": view.tries,
-            "failed_ms_ago": _age(now, view.failed_at),
-            "well_ms_ago": _age(now, view.succeeded_at),
+            "against": summary.witnesses_against,
+            "failed": summary.failed,
+            "tries": summary.tries,
+            "failed_ms_ago": _age_ms(now, summary.failed_at),
+            "well_ms_ago": _age_ms(now, summary.succeeded_at),
         }
     return {
         "me": fleet.me,
@@ -60,24 +62,29 @@
     }
 
 
-def differences(one: dict[str, Any], other: dict[str, Any]) -> list[str]:
-    """Where two fronts believe different things, a line each."""
-    found: list[str] = []
-    a, b = f"front {one['me']}", f"front {other['me']}"
-    for front in sorted(one["fronts"].keys() | other["fronts"].keys(), key=int):
-        said = [view["fronts"].get(front, {}).get("stands", "itself") for view in (one, other)]
-        if said[0] != said[1] and "itself" not in said:
-            found.append(f"front {front}: {said[0]} to {a}, {said[1]} to {b}")
-    for group in one["groups"].keys() & other["groups"].keys():
-        keepers = [view["groups"][group]["keepers"] for view in (one, other)]
-        if keepers[0] != keepers[1]:
-            found.append(f"keepers of group {group}: {keepers[0]} to {a}, {keepers[1]} to {b}")
-    for server in sorted(one["servers"].keys() & other["servers"].keys(), key=int):
-        against = [view["servers"][server]["against"] for view in (one, other)]
+def differences(first: dict[str, Any], second: dict[str, Any]) -> list[str]:
+    """Compares the views of two fronts; returns a line for each difference."""
+    lines: list[str] = []
+    first_name, second_name = f"front {first['me']}", f"front {second['me']}"
+    for front in sorted(first["fronts"].keys() | second["fronts"].keys(), key=int):
+        states = [view["fronts"].get(front, {}).get("stands", "itself") for view in (first, second)]
+        if states[0] != states[1] and "itself" not in states:
+            lines.append(f"front {front}: {states[0]} to {first_name}, {states[1]} to {second_name}")
+    for group in first["groups"].keys() & second["groups"].keys():
+        owners = [view["groups"][group]["keepers"] for view in (first, second)]
+        if owners[0] != owners[1]:
+            lines.append(
+                f"owners of group {group}: {owners[0]} to {first_name}, {owners[1]} to {second_name}"
+            )
+    for server in sorted(first["servers"].keys() & second["servers"].keys(), key=int):
+        against = [view["servers"][server]["against"] for view in (first, second)]
         if against[0] != against[1]:
-            found.append(f"server {server}: {against[0]} speak against it to {a}, {against[1]} to {b}")
-    return found
+            lines.append(
+                f"server {server}: {against[0]} witnesses against it to {first_name}, "
+                f"{against[1]} to {second_name}"
+            )
+    return lines
 
 
-def _age(now: int, at: int) -> int | None:
+def _age_ms(now: int, at: int) -> int | None:
     return None if at == LONG_AGO else (now - at) // 1000
--- a/ponddoor/fleet/simulation.py
+++ b/ponddoor/fleet/simulation.py
@@ -32,7 +32,7 @@
     timing=Timing(PERIOD, WAIT, 4 * PERIOD, 8 * PERIOD),
     evidence_ttl=8 * SECOND,
     lease=4 * PERIOD,
-    min_told_ratio=0.6,
+    min_updated_ratio=0.6,
     min_ack_ratio=0.4,
     bootstrap_replies_per_period=2,
 )
