--- a/ponddoor/server_table.py
+++ b/ponddoor/server_table.py
@@ -13,7 +13,7 @@
 from ponddoor.interface import events as ev
 from ponddoor.interface.events import ServerState
 from ponddoor.interface.facts import Plant
-from ponddoor.state import Pipe, Server
+from ponddoor.state import LinkState, Server
 
 MAX_GONE_SERVERS = 1024  # servers that are gone from the list and still known
 # The heap of reports is rebuilt when it is longer than twice the current reports plus this.
@@ -56,7 +56,7 @@
 
     def add(self, row: ev.ServerRow) -> Server:
         """Add a server that is named for the first time; the caller calls `update_row` next."""
-        server = self.by_number[row.server] = Server(row, Pipe(0.0), order=self._next_order)
+        server = self.by_number[row.server] = Server(row, LinkState(0.0), order=self._next_order)
         self._next_order += 1
         self._add_to_indices(server)
         return server
@@ -69,8 +69,8 @@
             self._add_to_indices(server)
         server.row = row
         link_kb = row.weight * self.plant.kb_per_weight
-        self._total_kb_fixed += _to_fixed_point(link_kb) - _to_fixed_point(server.link.kb)
-        server.link.kb = link_kb
+        self._total_kb_fixed += _to_fixed_point(link_kb) - _to_fixed_point(server.link.capacity_kb)
+        server.link.capacity_kb = link_kb
         if row.started_at:
             self.mark_possibly_cold(server)
         if row.state is ServerState.GONE:
@@ -113,7 +113,7 @@
     def _forget(self, number: int) -> None:
         del self._gone_numbers[number]
         server = self.by_number.pop(number)
-        self._total_kb_fixed -= _to_fixed_point(server.link.kb)
+        self._total_kb_fixed -= _to_fixed_point(server.link.capacity_kb)
         self.unsent.pop(number, None)
         self._possibly_cold.pop(number, None)
         self._drop_report(number)
@@ -153,7 +153,7 @@
 
     def sessions_changed(self, server: Server) -> None:
         """To be called when a server's sessions or their rungs have changed."""
-        server.changed()
+        server.invalidate_demand()
         self.unsent[server.row.server] = server
         if server.sessions:
             self._in_use[server.row.server] = server
@@ -181,7 +181,9 @@
 
     def cold_servers(self, now: int, duration: int) -> list[Server]:
         """The ready servers that started less than `duration` ago."""
-        for number in [n for n, server in self._possibly_cold.items() if now - server.started() >= duration]:
+        for number in [
+            n for n, server in self._possibly_cold.items() if now - server.process_started_at() >= duration
+        ]:
             del self._possibly_cold[number]
         return [server for server in self._possibly_cold.values() if server.row.state is ServerState.READY]
 
@@ -196,8 +198,8 @@
         """To be called when the load reports of a server's link have changed."""
         number = server.row.server
         self._drop_report(number)
-        if server.link.loads:
-            taken_at, ratio = self._last_reports[number] = server.link.loads[-1]
+        if server.link.reports:
+            taken_at, ratio = self._last_reports[number] = server.link.reports[-1]
             self._ratio_sum_fixed += _to_fixed_point(ratio)
             heapq.heappush(self._reports_by_time, (taken_at, number))
             if len(self._reports_by_time) > 2 * len(self._last_reports) + REPORT_HEAP_SLACK:
