--- a/ponddoor/node/start.py
+++ b/ponddoor/node/start.py
@@ -28,12 +28,12 @@
     sockets: int = 1024
 
 
-class _Allowed(msgspec.Struct, frozen=True):
+class _Permissions(msgspec.Struct, frozen=True):
     idle_ms: float = msgspec.field(default=30_000.0, name="connIdle")
 
 
 class _Settings(msgspec.Struct, frozen=True):
-    permissions: _Allowed = _Allowed()
+    permissions: _Permissions = _Permissions()
 
 
 class _File(msgspec.Struct, frozen=True):
--- a/ponddoor/node/viewers.py
+++ b/ponddoor/node/viewers.py
@@ -31,7 +31,7 @@
 MAX_UNUSABLE_LOGGED = 20  # log lines about unusable requests, in the life of the process
 LINGERING_LIMIT = 16  # connections that linger at the same time; further ones are closed at once
 RELEASE_CHECK_INTERVAL_US = SECOND // 20  # while releases are pending
-FINAL_FLUSH_US = SECOND // 20  # end of the shutdown that is left for viewers to read what was written last
+FINAL_FLUSH_US = SECOND // 20  # the end of the shutdown, in which viewers read what was written last
 CLOSE_CHECK_INTERVAL_S = 0.001  # while connections still have unread input during the shutdown
 FLUSH_CHECK_INTERVAL_S = 0.005  # while viewers have not closed their connections during the final flush
 log = structlog.get_logger("viewers")
@@ -57,7 +57,7 @@
     session_log: SessionLog = field(default_factory=SessionLog)
     _listener: Listener | None = None
     _eviction_scheduled: bool = False
-    # When the connections that may still linger began to
+    # Start times of the connections that may still linger
     _linger_starts: list[int] = field(default_factory=list)
     _release_timer: asyncio.TimerHandle | None = None
 
