--- a/ponddoor/state.py
+++ b/ponddoor/state.py
@@ -1,4 +1,6 @@
-"""What a front remembers of sessions, servers, links and racks. Nothing here decides."""
+"""What a front remembers of sessions, servers, links and racks. Nothing here decides.
+
+Times are in microseconds of the front's own clock, rates, demand and capacity in kB a second."""
 
 import bisect
 import math
@@ -15,21 +17,26 @@
 
 @dataclass(slots=True)
 class LinkState:
-    """A server's link or a rack's uplink: what is told of it, what we know to ask of it, and its reports."""
+    """A server's link or a rack's uplink: its nominal capacity, the demand that we know of, and its last load
+    reports.
+
+    `known_demand` holds (time, demand) pairs in order of time, `reports` pairs of the time of measurement and
+    the ratio of demand to capacity. `shortage` is the time of the last shortage and the rate delivered then."""
 
     capacity_kb: float
     known_demand: list[tuple[int, float]] = field(default_factory=lambda: [(0, 0.0)])
-    reports: list[tuple[int, float]] = field(default_factory=list)  # (taken at, asked over what it gives)
-    shortage: tuple[int, float] | None = None  # when last seen short, what it gave
+    reports: list[tuple[int, float]] = field(default_factory=list)
+    shortage: tuple[int, float] | None = None
 
-    def add_report(self, taken: int, ratio: float) -> None:
-        """A report, of the moment it was taken."""
-        self.reports = [*self.reports[-2:], (taken, ratio)]
+    def add_report(self, measured_at: int, ratio: float) -> None:
+        """Adds a load report; the last three are kept."""
+        self.reports = [*self.reports[-2:], (measured_at, ratio)]
 
     def unaccounted_demand(self) -> float:
-        """What others ask, by the last report: it speaks of its moment, so what was known then is off."""
-        taken, ratio = self.reports[-1]
-        return ratio * self.capacity_kb - self.known_demand_at(taken)
+        """Demand of the last report that we did not know of. The report describes the moment of its
+        measurement, so the demand known at that moment is subtracted, not today's."""
+        measured_at, ratio = self.reports[-1]
+        return ratio * self.capacity_kb - self.known_demand_at(measured_at)
 
     def known_demand_at(self, moment: int) -> float:
         return self.known_demand[max(bisect.bisect_right(self.known_demand, (moment, math.inf)) - 1, 0)][1]
@@ -37,7 +44,10 @@
 
 @dataclass(slots=True)
 class Sess:
-    """One session, from its request to its end."""
+    """One session, from its request to its end.
+
+    `attempts` has the server, the time and the result (None while it is awaited) of each SETUP. `means` is the
+    last hint of what the player can take. `viewer_done`: the viewer has had the final answer or has left."""
 
     req: ev.SessionRequest
     group: ServiceGroup
@@ -48,10 +58,11 @@
     server: int = -1
     viewer_done: bool = False
     playing_since: int | None = None
-    attempts: list[tuple[int, int, ev.Result | None]] = field(default_factory=list)  # (server, sent at, end)
-    means: ev.Means | None = None  # what its player can take, by its last word
+    attempts: list[tuple[int, int, ev.Result | None]] = field(default_factory=list)
+    means: ev.Means | None = None
 
     def rate(self, rung: int) -> float:
+        """The session's rate at a rung, in kB a second."""
         return self.ladder.rate_kb[rung] * self.group.rate_factor
 
     def seat_key(self) -> tuple[int, int]:
@@ -60,94 +71,102 @@
 
 @dataclass(slots=True)
 class Arrivals:
-    """The last requests: when they came, and where their titles lie."""
+    """The most recent requests as (time, home, span): when each came, and which cells hold its title."""
 
     max_samples: int
-    samples: list[tuple[int, int, int]] = field(default_factory=list)  # (when, home, span)
+    samples: list[tuple[int, int, int]] = field(default_factory=list)
+
+    def record(self, now: int, home: int, span: int) -> None:
+        self.samples = [*self.samples[1 - self.max_samples :], (now, home, span)]
 
-    def record(self, at: int, home: int, span: int) -> None:
-        self.samples = [*self.samples[1 - self.max_samples :], (at, home, span)]
+    def rate_per_s(self, now: int, period: int, place: tuple[int, int] | None = None) -> float:
+        """Arrivals a second over a period, at least one arrival in it. On a busy front the samples cover less
+        than the period; the rate is then taken over the time that they cover.
 
-    def rate_per_s(self, now: int, span: int, place: tuple[int, int] | None = None) -> float:
-        """Arrivals a second: of a busy front the samples reach back less than the span (us). Where a place is
-        named, a cell of so many, those whose titles lie there."""
+        With `place` (a cell and the number of cells), only requests for titles in that cell count."""
         if len(self.samples) >= self.max_samples:
-            span = min(span, max(now - self.samples[0][0], 1))
-        return max(self.count_within(now, span, place), 1) * 1_000_000 / span
+            period = min(period, max(now - self.samples[0][0], 1))
+        return max(self.count_within(now, period, place), 1) * 1_000_000 / period
 
-    def count_within(self, now: int, span: int, place: tuple[int, int] | None = None) -> int:
+    def count_within(self, now: int, period: int, place: tuple[int, int] | None = None) -> int:
+        """The number of sampled arrivals in the last `period`; `place` as for `rate_per_s`."""
         cell, cells = place or (0, 1)
-        return sum(at > now - span and (cell - home) % cells < wide for at, home, wide in self.samples)
+        return sum(
+            arrived_at > now - period and (cell - home) % cells < span
+            for arrived_at, home, span in self.samples
+        )
 
 
 @dataclass(slots=True)
 class RackLoad:
-    """A rack's links and uplink, as reckoned at a moment. Rates in kB a second.
+    """Demand on the links and the uplink of a rack and the capacity left over, as of `computed_at`.
 
-    `changed` are the servers of which something is known since, to be reckoned anew in a large rack."""
+    `known_demand` is the list of the rack's uplink at that time: it is replaced on every change, so a
+    comparison by identity tells whether anything has changed. `residual_kb` and `demand_kb` are by server. In
+    a large rack `stale_servers` have to be recomputed, and `refresh_offset` is the position of the first link
+    of the last periodic refresh."""
 
     computed_at: int
-    known_demand: list[
-        tuple[int, float]
-    ]  # the rack's, by identity: another one where the account has changed
-    residual_kb: dict[int, float]  # of each link
+    known_demand: list[tuple[int, float]]
+    residual_kb: dict[int, float]
     demand_kb: dict[int, float]
-    positive_residual_kb: float  # the sum of the rooms over 0
-    total_demand_kb: float  # of what is asked
-    uplink_residual_kb: float = 0.0  # of the uplink
-    refresh_offset: int = 0  # the first link that was reckoned in turn last
+    positive_residual_kb: float  # the sum of the links' residuals that are above 0
+    total_demand_kb: float
+    uplink_residual_kb: float = 0.0
+    refresh_offset: int = 0
     stale_servers: set[int] = field(default_factory=set)
 
     @property
     def residual_divisor_kb(self) -> float:
-        """The sum of the rooms over 0, to divide by."""
+        """The sum of the positive residuals, at least 1 so that it can be divided by."""
         return max(self.positive_residual_kb, 1.0)
 
-    def set_link(self, server: int, room: float, asked: float) -> None:
-        """A link is reckoned anew."""
+    def set_link(self, server: int, residual_kb: float, demand_kb: float) -> None:
+        """Replaces the figures of a server's link and updates the sums."""
         self.remove_link(server)
-        self.residual_kb[server], self.demand_kb[server] = room, asked
-        self.positive_residual_kb += max(room, 0.0)
-        self.total_demand_kb += asked
+        self.residual_kb[server], self.demand_kb[server] = residual_kb, demand_kb
+        self.positive_residual_kb += max(residual_kb, 0.0)
+        self.total_demand_kb += demand_kb
 
     def remove_link(self, server: int) -> None:
-        """A link is none of the rack's any more."""
+        """Removes the figures of a server that has left the rack."""
         self.positive_residual_kb -= max(self.residual_kb.pop(server, 0.0), 0.0)
         self.total_demand_kb -= self.demand_kb.pop(server, 0.0)
 
 
 @dataclass(slots=True, eq=False)
 class Server:
-    """One server as this front sees it."""
+    """One server as this front sees it.
+
+    The `unsent_` fields hold what this front has learned and not yet passed on to the owners of the server's
+    group, the `sent_` fields what it last told them."""
 
     row: ev.ServerRow
     link: LinkState
     sessions: dict[int, Sess] = field(default_factory=dict)
-    setup_outcomes: list[tuple[int, bool]] = field(default_factory=list)  # (when, whether it went well)
-    delivery_notes: list[tuple[int, float]] = field(default_factory=list)  # (when, share delivered)
-    told_warm_at: int = LONG_AGO  # when a keeper's word last said that it is warm
-    unused_grant_at: int = LONG_AGO  # when we asked for the grant that we have not used
-    trial_granted_at: int = LONG_AGO  # when we last let a front try it for all
+    setup_outcomes: list[tuple[int, bool]] = field(default_factory=list)  # (time, whether it succeeded)
+    delivery_notes: list[tuple[int, float]] = field(default_factory=list)  # (time, ratio delivered)
+    told_warm_at: int = LONG_AGO  # time of the last query to which an owner replied that it is warm
+    unused_grant_at: int = LONG_AGO  # time of the query that brought a grant which has not been used
+    trial_granted_at: int = LONG_AGO  # when this front, as an owner, last granted a trial SETUP
     last_setup_at: int = LONG_AGO
-    arrival_probe_at: int = LONG_AGO  # when it was last probed for an arrival
-    unsent_report: tuple[int, float] | None = None  # a report that came to us and is still to be told
-    unsent_delivery: tuple[int, float] | None = None  # a note on the share delivered, likewise
-    unsent_outcome: bool = False  # and the end of a set-up
-    reported_load: float = 0.0  # the link as last reported, whatever short notes say
-    sent_demand_kb: float = 0.0  # our rate there as last told
-    sent_warm: bool = False  # and whether we had an old session there
-    last_reply: tuple[int, float, float] = (
-        LONG_AGO,
-        0.0,
-        0.0,
-    )  # a keeper's: when, idle and asked, without ours
-    cached_own_demand: float | None = None  # the sum of our sessions' rates, while it holds
-    seen_down_at: int | None = None  # when it was last seen to be down
-    seen_up_at: int = LONG_AGO  # when it was first seen to be up again
-    order: int = 0  # among all servers, by when the list first named it
+    arrival_probe_at: int = LONG_AGO  # when it was last probed before a placement
+    unsent_report: tuple[int, float] | None = None  # a load report: (measured at, ratio)
+    unsent_delivery: tuple[int, float] | None = None  # a delivery note: (time, ratio delivered)
+    unsent_outcome: bool = False  # whether there are set-up outcomes to pass on
+    reported_load: float = 0.0  # load ratio of the link as last reported, not corrected by delivery notes
+    sent_demand_kb: float = 0.0
+    sent_warm: bool = False  # whether we had a session there from before the server could be cold
+    # An owner's last reply: when it was asked, idle capacity and demand, both without this front's sessions
+    last_reply: tuple[int, float, float] = (LONG_AGO, 0.0, 0.0)
+    cached_own_demand: float | None = None  # None: to be recomputed
+    seen_down_at: int | None = None  # when it last failed to accept or reset a connection; None: it is up
+    seen_up_at: int = LONG_AGO  # when it was first seen up again after that
+    order: int = 0  # position among all servers, by when discovery first named them
 
     def own_demand(self) -> float:
-        """What our sessions ask of it; viewers of one live title at one rung share a stream."""
+        """Demand of this front's sessions. Viewers of one live title at one rung share a stream, so each
+        further one costs only the fraction `ladder.join` of its rate."""
         if self.cached_own_demand is None:
             total, streams = 0.0, set()
             for sess in self.sessions.values():
@@ -160,44 +179,46 @@
             self.cached_own_demand = total
         return self.cached_own_demand
 
-    def apply_reply(self, asked: int, room: words.ServerStatus) -> None:
-        """A keeper's word, in answer to a question of ours of that moment."""
-        self.last_reply = (asked, room.idle_kb + room.asker_kb, room.asked_kb - room.asker_kb)
-        self.told_warm_at = asked if room.warm else LONG_AGO
-        self.unused_grant_at = asked if room.granted else self.unused_grant_at
+    def apply_reply(self, queried_at: int, status: words.ServerStatus) -> None:
+        """Records an owner's reply to the query sent at `queried_at`."""
+        self.last_reply = (queried_at, status.idle_kb + status.asker_kb, status.asked_kb - status.asker_kb)
+        self.told_warm_at = queried_at if status.warm else LONG_AGO
+        self.unused_grant_at = queried_at if status.granted else self.unused_grant_at
 
     def outcomes_since(self, since: int) -> Observation:
-        """How our set-ups there ended since a moment."""
-        failed = [at for at, well in self.setup_outcomes if at > since and not well]
-        went_well = [at for at, well in self.setup_outcomes if at > since and well]
-        last, last_well = max(failed, default=LONG_AGO), max(went_well, default=LONG_AGO)
-        return Observation(len(failed), len(went_well), last, last_well)
-
-    def has_session_from_before(self, since: int) -> bool:
-        """Whether a session of ours there began before a moment, and was not lost since."""
-        began = (s.playing_since for s in self.sessions.values() if s.playing_since is not None)
-        return self.seen_down_at is None and any(at <= since for at in began)
+        """Counts and times of the set-ups that ended at this server after `since`."""
+        failures = [ended_at for ended_at, ok in self.setup_outcomes if ended_at > since and not ok]
+        successes = [ended_at for ended_at, ok in self.setup_outcomes if ended_at > since and ok]
+        last_failure, last_success = max(failures, default=LONG_AGO), max(successes, default=LONG_AGO)
+        return Observation(len(failures), len(successes), last_failure, last_success)
+
+    def has_session_from_before(self, moment: int) -> bool:
+        """Whether a session of this front has played there since `moment` or earlier. False while the server
+        is taken to be down, as its sessions are lost then."""
+        starts = (s.playing_since for s in self.sessions.values() if s.playing_since is not None)
+        return self.seen_down_at is None and any(start <= moment for start in starts)
 
     def take_update(self, now: int, since: int, warm: bool) -> words.ServerRate:
-        """Our rate there, and what came to us since we last said so: that is said once."""
-        load, share = (
+        """Returns the update for the owners: our demand there and everything unsent, which counts as sent from
+        here on. Set-up outcomes are those after `since`."""
+        load, delivered = (
             words.Sample(s[1], now - s[0]) if s else None for s in (self.unsent_report, self.unsent_delivery)
         )
         seen = self.outcomes_since(since)
-        failed_age, well_age = now - max(seen.failed_at, since), now - max(seen.succeeded_at, since)
-        told = (
-            words.SetupOutcomes(seen.failed, seen.succeeded, failed_age, well_age)
+        failed_age, succeeded_age = now - max(seen.failed_at, since), now - max(seen.succeeded_at, since)
+        outcomes = (
+            words.SetupOutcomes(seen.failed, seen.succeeded, failed_age, succeeded_age)
             if self.unsent_outcome
             else None
         )
         self.sent_demand_kb, self.sent_warm = self.own_demand(), warm
         self.unsent_report, self.unsent_delivery, self.unsent_outcome = None, None, False
-        return words.ServerRate(self.row.server, self.sent_demand_kb, load, share, warm, told)
+        return words.ServerRate(self.row.server, self.sent_demand_kb, load, delivered, warm, outcomes)
 
     def invalidate_demand(self) -> None:
-        """Its sessions or their rungs are others now: what they ask is summed anew."""
+        """To be called after a change of the sessions or of their rungs."""
         self.cached_own_demand = None
 
     def process_started_at(self) -> int:
-        """When its process last started, as far as the list or we have seen."""
+        """When the server's process last started, as far as discovery or our own connections tell."""
         return max(self.row.started_at or LONG_AGO, self.seen_up_at)
