--- a/ponddoor/state.py
+++ b/ponddoor/state.py
@@ -21,7 +21,8 @@
     reports.
 
     `known_demand` holds (time, demand) pairs in order of time, `reports` pairs of the time of measurement and
-    the ratio of demand to capacity. `shortage` is the time of the last shortage and the rate delivered then."""
+    the ratio of demand to capacity. `shortage` is the time of the last shortage and the rate that was
+    delivered then."""
 
     capacity_kb: float
     known_demand: list[tuple[int, float]] = field(default_factory=lambda: [(0, 0.0)])
@@ -46,8 +47,9 @@
 class Sess:
     """One session, from its request to its end.
 
-    `attempts` has the server, the time and the result (None while it is awaited) of each SETUP. `means` is the
-    last hint of what the player can take. `viewer_done`: the viewer has had the final answer or has left."""
+    `attempts` has the server, the time and the result (None while it is awaited) of each SETUP. `means` is
+    the last hint of what the player can take. `viewer_done`: the viewer has had the final answer or has left.
+    """
 
     req: ev.SessionRequest
     group: ServiceGroup
@@ -160,7 +162,7 @@
     # An owner's last reply: when it was asked, idle capacity and demand, both without this front's sessions
     last_reply: tuple[int, float, float] = (LONG_AGO, 0.0, 0.0)
     cached_own_demand: float | None = None  # None: to be recomputed
-    seen_down_at: int | None = None  # when it last failed to accept or reset a connection; None: it is up
+    seen_down_at: int | None = None  # when it last refused or reset a connection; None: it is up
     seen_up_at: int = LONG_AGO  # when it was first seen up again after that
     order: int = 0  # position among all servers, by when discovery first named them
 
@@ -199,8 +201,8 @@
         return self.seen_down_at is None and any(start <= moment for start in starts)
 
     def take_update(self, now: int, since: int, warm: bool) -> words.ServerRate:
-        """Returns the update for the owners: our demand there and everything unsent, which counts as sent from
-        here on. Set-up outcomes are those after `since`."""
+        """Returns the update for the owners: our demand there and everything unsent, which counts as sent
+        from here on. Set-up outcomes are those after `since`."""
         load, delivered = (
             words.Sample(s[1], now - s[0]) if s else None for s in (self.unsent_report, self.unsent_delivery)
         )
