--- a/ponddoor/decide.py
+++ b/ponddoor/decide.py
@@ -1,18 +1,23 @@
-"""All decisions of one ponddoor front: the server and the rung of every session, from arrival to end.
-
-The caller is `ponddoor.runtime.driver.Driver`: it sets the clock, hands every event to `Front.observe` and
-runs the generators `session`, `handed_over` and `upkeep`. What they yield and are resumed with is in
-`ponddoor/interface` (facts, events, actions, words), what a front remembers in `ponddoor/state.py`.
-docs/design.md tells how this follows the design.
-
-Beside the design stand these mechanisms:
-1. the guard: the six rules, at the one place that every SETUP passes (`Front.eligible_holders`);
-2. health: a server that fails is rested, then tried by one session at a time (`setup_backoff_until`);
-3. further SETUPs: set-up timeouts that leave room for another holder (`Front.setup_timeout`);
-4. fronts' word: rates, reports and evidence told to the keepers of a rack, who answer who asks
-   (`update_owners`, `answer_queries`; what is kept of it is in `ponddoor/fleet`);
-5. an inquiry before a placement, of keepers or of two holders, where the account is not whole (`inquire`);
-6. a busy-reply where no holder has room and most of our sessions are at the lowest rung (`place`).
+"""All decisions of one front: the server and the rung of every session, from its request to its end.
+
+The caller is `ponddoor.runtime.driver.Driver`: it sets the clock, passes every event to `Front.observe` and
+runs the generators `session`, `handed_over` and `upkeep`. What these yield and are resumed with is defined in
+`ponddoor/interface` (facts, events, actions, words); what a front remembers is in `ponddoor/state.py`.
+docs/design.md relates this module to the design.
+
+Mechanisms beyond the design:
+1. admission: the six rules, checked at the one place that every SETUP passes (`Front.eligible_holders`);
+2. health: backoff of a server after failed set-ups, then a trial by a single session
+   (`Front.setup_backoff_until`);
+3. retries: set-up timeouts that leave time for another holder (`Front.setup_timeout`);
+4. gossip: rates, load reports and evidence are sent to the owners of a group of racks, which reply to
+   queries (`Front.update_owners`, `Front.answer_queries`; the data is kept in `ponddoor/fleet`);
+5. a query to owners, or probes of two holders, before a placement where demand is not fully known
+   (`Front.inquire`);
+6. a busy-reply where no holder has capacity left and most of our sessions are at the lowest rung
+   (`Front.place`).
+
+Times are in microseconds, rates, demand and capacity in kB a second.
 """
 
 import functools
@@ -33,55 +38,68 @@
 from ponddoor.server_table import ServerTable
 from ponddoor.state import LONG_AGO, Arrivals, LinkState, RackLoad, SeededRandom, Server, Sess
 
-SECOND = 1_000_000
-HEADROOM_RATIO = 0.04  # of a link or uplink, left for true rates above the ladder and for others' raises
-RESIZE_PERIOD_TARGETS = 5  # start targets
-ARRIVAL_SAMPLES = 60  # of which the moments are kept
-MIN_GAIN_COST_RATIO = 1.5  # a change of rung must earn its cost so many times over
-LENGTH_HALVING_SESSIONS = 60  # ended sessions, after which what was learned of their lengths counts half
-REPORT_AGE_US = SECOND // 3  # how old a report is taken to be when it comes
-STEADY_DEMAND_RATIO = 0.7  # of the most known around a report, that must have been known all the time
-REPORT_MISSING_US = 4 * SECOND  # without a report for so long, short-delivery notes stand in
-PROBE_BUDGET_POINTS = 0.01  # of service, that probing may cost
-PREFERRED_IDLE_RATIO = 0.5  # of the most idle, with which a holder of the own zone is taken
-UPLINK_REGAIN_RATIO_PER_S = 0.02  # of an uplink seen short, that is tried again each second
-MIN_UPLINK_RATIO = 0.25  # of a told uplink, that a shortage can leave
-GOSSIP_PERIOD_TARGETS = 2  # start targets
-FULL_SYNC_ROUNDS = 16  # so many tellings, all is told and not only what changed
-FULL_MESH_FRONTS = (
-    3  # so many fronts all keep the whole account; of more, each part of it has OWNERS_PER_GROUP
-)
-OWNERS_PER_GROUP = 3
-ARRIVALS_PER_S_PER_GROUP = 50  # arrivals a second, one a front in each start target, that a part is made for
-MIN_KNOWN_RATIO, MIN_REACH_RATIO = (
-    0.6,
-    0.4,
-)  # of the fleet, that has told us and that answers: the account is whole
-GROUPS_QUERIED = 3  # parts of the account that are asked about for an arrival
-REPLY_TIMEOUT_US = SECOND // 12  # how long an answer of a keeper or a probe is waited for
-DEAD_AFTER_ROUNDS = 4  # tellings, after which a front that does not answer is dead, at the soonest
+SECOND = 1_000_000  # in microseconds
+# Fraction of a link or uplink kept free for true rates above the ladder's and for raises by other fronts
+HEADROOM_RATIO = 0.04
+RESIZE_PERIOD_TARGETS = 5  # in start targets
+ARRIVAL_SAMPLES = 60  # most recent arrivals that are remembered
+MIN_GAIN_COST_RATIO = 1.5  # a change of rung has to gain this multiple of its switching cost
+LENGTH_HALVING_SESSIONS = 60  # after so many ended sessions, what was learned of their lengths is halved
+# Assumed age of a load report on arrival: reports do not tell when they were measured
+REPORT_AGE_US = SECOND // 3
+# Demand counts as steady around a report if its minimum there is at least this fraction of its maximum
+STEADY_DEMAND_RATIO = 0.7
+# A report older than twice this is not used; delivery notes and the fleet's mean load stand in for it
+REPORT_MISSING_US = 4 * SECOND
+PROBE_BUDGET_POINTS = 0.01  # points of service that probing may cost
+# A holder in our zone, or with sessions of ours, is preferred if it has this fraction of the most idle
+PREFERRED_IDLE_RATIO = 0.5
+# After a shortage an uplink's assumed capacity grows by this fraction each second
+UPLINK_REGAIN_RATIO_PER_S = 0.02
+# Lowest capacity that a shortage can make us assume, as a fraction of an uplink's nominal capacity
+MIN_UPLINK_RATIO = 0.25
+GOSSIP_PERIOD_TARGETS = 2  # in start targets
+FULL_SYNC_ROUNDS = 16  # every so many rounds an owner is sent all rates, not only the changes
+FULL_MESH_FRONTS = 3  # up to so many fronts, each owns all groups of racks
+OWNERS_PER_GROUP = 3  # with more fronts
+# Arrival rate that one group is made for, if each front has one arrival in each start target
+ARRIVALS_PER_S_PER_GROUP = 50
+# Demand counts as fully known if this fraction of the fleet has told us its rates ...
+MIN_KNOWN_RATIO = 0.6
+# ... and this fraction answers us
+MIN_REACH_RATIO = 0.4
+GROUPS_QUERIED = 3  # for one arrival
+REPLY_TIMEOUT_US = SECOND // 12  # for an owner's reply or a probe's answer
+DEAD_AFTER_ROUNDS = 4  # a front that does not answer is dead after so many gossip periods at the earliest
+# Fraction of a holder's idle capacity that one arrival may take
 IDLE_SHARE_RATIOS = (
-    0.5,
-    0.34,
-    0.25,
-)  # of a holder's idle an arrival takes: all is known, a report came, a guess
-COLD_PACE_RATIO = 0.4  # of a cold server's pace, that the fronts expect to use together
-LOW_CONTENTION_FRONTS = 4  # arrivals that may meet at a holder before the account knows
-PLAYER_HINT_TTL_US = 8 * SECOND  # how long a player's word on what it can take counts
-THROUGHPUT_USE_RATIO = 0.9  # of the throughput that a player measured, that a rung may use
-FIRST_SETUP_BACKOFF_US = SECOND  # a failing server's first rest; doubled with each further failure
-MAX_BACKOFF_DOUBLINGS = 3  # so often
-MAX_COMPARED = 64  # holders of a title that are all looked at, and links of a rack that are all summed
-SAMPLED_HOLDERS, SAMPLED_IN_USE = (
-    32,
-    8,
-)  # of more holders, those drawn by chance, and those drawn where we play
-RACK_REFRESH_PERIOD_US = SECOND // 100  # some links of a large rack are reckoned anew, so often at most
-MIN_WITNESSES = 2  # fronts whose word it takes to avoid a server that we know nothing bad of
+    0.5,  # all demand on the holder is known
+    0.34,  # it has reported its load recently
+    0.25,  # its load is estimated
+)
+COLD_PACE_RATIO = 0.4  # fraction of a cold server's pace that the fronts together expect to use
+# Arrivals that may choose the same holder before its known demand includes them. Up to this many competing
+# fronts, changes of rung need no random spreading
+LOW_CONTENTION_FRONTS = 4
+PLAYER_HINT_TTL_US = 8 * SECOND  # how long a player's hint counts
+THROUGHPUT_USE_RATIO = 0.9  # fraction of a player's measured throughput that a rung may use
+FIRST_SETUP_BACKOFF_US = SECOND  # after a failed set-up; doubled with each further failure
+MAX_BACKOFF_DOUBLINGS = 3
+# Up to this many holders of a title are all compared, and up to this many links of a rack all summed
+MAX_COMPARED = 64
+SAMPLED_HOLDERS = 32  # drawn at random from more holders; also the links of one refresh of a large rack
+SAMPLED_IN_USE = 8  # drawn in addition from those with sessions of ours
+RACK_REFRESH_PERIOD_US = SECOND // 100  # shortest time between periodic refreshes of a large rack
+# Fronts that have to report failures before we avoid a server that we know nothing bad of
+MIN_WITNESSES = 2
+# Results that prove that the SETUP has not been executed
 NEVER_RAN = (Result.FULL, Result.CONNECT_FAILED, Result.MOOT)
 
 
 class Front:
+    """The decisions of one front. `servers` has all known servers by number, `uplinks` and `group_by_rack`
+    are indexed by rack number."""
+
     def __init__(self, facts: SiteFacts, now: int) -> None:
         self.facts, self.now, self.created_at, self.chance = facts, now, now, SeededRandom(facts.seed)
         self.table = ServerTable(facts.plant)
@@ -89,11 +107,12 @@
         self.uplinks = [LinkState(facts.plant.uplink_kb) for _ in range(facts.plant.racks or 1)]
         self.sessions: dict[int, Sess] = {}
         self.seats_in_use: dict[tuple[int, int], int] = {}
-        self.total_play_us, self.ended_sessions = 0, 0  # how long sessions played in all, and how many ended
-        self.setup_lags: list[int] = []  # how long the last set-ups took
+        # Play time of all sessions together, and the number of sessions that have ended
+        self.total_play_us, self.ended_sessions = 0, 0
+        self.setup_lags: list[int] = []  # durations of the last successful set-ups
         self.arrivals = Arrivals(ARRIVAL_SAMPLES)
-        self.request_times: list[int] = []  # requests within the budget's span
-        self.retry_times: list[int] = []  # further SETUPs within it
+        self.request_times: list[int] = []  # requests in the time span of the retry budget
+        self.retry_times: list[int] = []  # retries in the same span
         self.watching, self.mean_load_at, self.mean_load = False, LONG_AGO, 0.0
         target = min((group.start_target for group in facts.groups), default=SECOND)
         self.resize_period_us, self.gossip_period_us = (
@@ -116,40 +135,50 @@
             MIN_REACH_RATIO,
             2,
         )
-        parts = min(len(self.uplinks), 1 + facts.fronts * SECOND // target // ARRIVALS_PER_S_PER_GROUP)
-        self.fleet = Fleet(facts, now, terms, parts)
+        group_count = min(len(self.uplinks), 1 + facts.fronts * SECOND // target // ARRIVALS_PER_S_PER_GROUP)
+        self.fleet = Fleet(facts, now, terms, group_count)
         self.group_by_rack = [
             self.fleet.group_of(rack, len(self.uplinks)) for rack in range(len(self.uplinks))
         ]
         self.last_rack_of_group = {group: rack for rack, group in enumerate(self.group_by_rack)}
-        self.last_message: tuple[bytes, words.Message | None] = b"", None  # the last that came
+        # The last message of another front: its bytes and what they were decoded to
+        self.last_message: tuple[bytes, words.Message | None] = b"", None
         self.rack_loads: dict[int, RackLoad] = {}
         self.rack_load_ttl_us = REPLY_TIMEOUT_US // 4 if self.fleet.queries_owners else 0
-        self.idle_share_ratios = [max(part, 1 / facts.fronts) for part in IDLE_SHARE_RATIOS]
+        self.idle_share_ratios = [max(ratio, 1 / facts.fronts) for ratio in IDLE_SHARE_RATIOS]
         self.probes_report_load = facts.permissions.probes and facts.reporting is Reporting.ON_PROBE
 
     def clock(self, now: int) -> None:
+        """Sets the time for all that follows until the next call."""
         self.now = self.fleet.now = now
 
     def setup_backoff_until(self, server: Server) -> int:
-        """Guards against servers that are silent, stand still or fail set-ups; none need be told apart.
+        """When a server may be tried again after failed set-ups; 0 unless the last one failed.
 
-        It covers overloaded and cut-off ones too. It may harm where set-ups fail by chance everywhere: then
-        all rest, and the holder whose rest ends first is taken."""
-        bad = sum(not well for _, well in server.setup_outcomes)
-        rest = FIRST_SETUP_BACKOFF_US << min(bad - 1, MAX_BACKOFF_DOUBLINGS) if bad else 0
-        return server.setup_outcomes[-1][0] + rest if bad and not server.setup_outcomes[-1][1] else 0
+        This treats servers alike that do not answer, hang, fail set-ups, are overloaded or are cut off: there
+        is no need to tell them apart. Where set-ups fail at random on all servers, all are in backoff, and
+        the holder whose backoff ends first is taken."""
+        failures = sum(not ok for _, ok in server.setup_outcomes)
+        backoff_us = FIRST_SETUP_BACKOFF_US << min(failures - 1, MAX_BACKOFF_DOUBLINGS) if failures else 0
+        return (
+            server.setup_outcomes[-1][0] + backoff_us if failures and not server.setup_outcomes[-1][1] else 0
+        )
 
     def is_avoided(self, server: Server) -> bool:
-        """Guards against a server that is bad for all, which each of many fronts would find out alone.
-
-        Our own evidence goes first where it is newer, one front's word condemns nothing (`View.bad`). It may
-        harm where two fronts are cut off from a server: until another tells, or while evidence counts."""
-        view = self.fleet.evidence.summary(self.now, server.row.server, self.facts.me)
-        own = max((at for at, _ in server.setup_outcomes), default=LONG_AGO)
-        return view.is_bad(MIN_WITNESSES, own) and server.unused_grant_at <= self.now - REPLY_TIMEOUT_US
+        """Whether other fronts' evidence speaks against a server, so that not each of many fronts has to find
+        out by itself. It may be tried while it has a recent unused grant.
+
+        Our own evidence prevails where it is newer, and the evidence of a single front is not enough
+        (`EvidenceSummary.is_bad`). If two fronts are cut off from a server, all avoid it needlessly until
+        another front reports a success or the evidence expires."""
+        evidence = self.fleet.evidence.summary(self.now, server.row.server, self.facts.me)
+        own_last = max((ended_at for ended_at, _ in server.setup_outcomes), default=LONG_AGO)
+        return (
+            evidence.is_bad(MIN_WITNESSES, own_last) and server.unused_grant_at <= self.now - REPLY_TIMEOUT_US
+        )
 
     def observe(self, event: ev.Event) -> None:
+        """Records an event. The scripts that wait for it are resumed by the caller afterwards."""
         match event:
             case ev.ServerNews():
                 self.record_server_news(event)
@@ -177,7 +206,10 @@
 
     def record_server_news(self, news: ev.ServerNews) -> None:
         self.watching = news.scope is not ev.NewsScope.FAILED
-        if news.scope in (ev.NewsScope.FULL, ev.NewsScope.CACHED):  # whoever is not named is gone
+        if news.scope in (
+            ev.NewsScope.FULL,
+            ev.NewsScope.CACHED,
+        ):  # a server missing from a full list is gone
             named = {row.server for row in news.rows}
             for server in [s for number, s in self.table.running.items() if number not in named]:
                 self.record_row(replace(server.row, state=ServerState.GONE))
@@ -185,70 +217,78 @@
             self.record_row(row)
 
     def record_row(self, row: ev.ServerRow) -> None:
-        held = self.servers.get(row.server) or self.table.add(row)
+        server = self.servers.get(row.server) or self.table.add(row)
         if row.state is ServerState.GONE:
-            row = replace(held.row, state=ServerState.GONE)  # its entry may tell no more than that
-        elif row.started_at > held.row.started_at:  # a new process: what was seen of the old one is void
-            held.setup_outcomes, held.delivery_notes, held.link.reports, held.seen_down_at = [], [], [], None
-            held.told_warm_at = LONG_AGO
-            self.table.reports_changed(held)
+            row = replace(server.row, state=ServerState.GONE)  # the row of a server that is gone may be bare
+        elif row.started_at > server.row.started_at:  # a new process: observations of the old one are void
+            server.setup_outcomes, server.delivery_notes, server.link.reports, server.seen_down_at = (
+                [],
+                [],
+                [],
+                None,
+            )
+            server.told_warm_at = LONG_AGO
+            self.table.reports_changed(server)
             self.fleet.evidence.forget(row.server)
             self.fleet.counts.clear_key(row.server)
-        before = self.running_rack(held)
-        self.table.update_row(held, row)
-        self.mark_stale(held)
-        if before != (after := self.running_rack(held)):
-            self.move_demand(held, before, after)
+        rack_before = self.running_rack(server)
+        self.table.update_row(server, row)
+        self.mark_stale(server)
+        if rack_before != (rack_after := self.running_rack(server)):
+            self.move_demand(server, rack_before, rack_after)
 
     def running_rack(self, server: Server) -> int | None:
-        """The number of its rack; None where it has gone."""
+        """The number of its rack; None if the server is gone."""
         running = server.row.server in self.table.running
         return self.rack_number(server) if running else None
 
-    def move_demand(self, server: Server, before: int | None, after: int | None) -> None:
-        """What is asked of a large rack's links is kept as a sum, which a server has left or joined."""
-        asked = server.link.known_demand[-1][1]
-        for number, change in ((before, -asked), (after, asked)):
+    def move_demand(self, server: Server, rack_before: int | None, rack_after: int | None) -> None:
+        """Moves a server's known demand from the sum of its old rack to that of its new one. Only large racks
+        keep such a sum; for the others it is computed anew from the links."""
+        demand = server.link.known_demand[-1][1]
+        for number, change in ((rack_before, -demand), (rack_after, demand)):
             if number is not None and change and len(self.by_rack[number]) > MAX_COMPARED:
-                rack = self.uplinks[number]
-                rack.known_demand = [*rack.known_demand[-99:], (self.now, rack.known_demand[-1][1] + change)]
-            if number is not None and (held := self.rack_loads.get(number)) is not None:
-                held.stale_servers.add(server.row.server)
+                uplink = self.uplinks[number]
+                uplink.known_demand = [
+                    *uplink.known_demand[-99:],
+                    (self.now, uplink.known_demand[-1][1] + change),
+                ]
+            if number is not None and (load := self.rack_loads.get(number)) is not None:
+                load.stale_servers.add(server.row.server)
 
     def record_probe(self, event: ev.Probed) -> None:
-        server, well = self.servers.get(event.server), event.result is Result.SERVED
+        server, ok = self.servers.get(event.server), event.result is Result.SERVED
         if server is None:
             return
-        if not well or server.seen_down_at is not None:  # an answered probe only proves that it runs
-            self.record_setup_outcome(server, well)
+        # An answered probe proves that the server runs, not that set-ups succeed
+        if not ok or server.seen_down_at is not None:
+            self.record_setup_outcome(server, ok)
         self.record_report(server, event.report)
 
-    def add_link_report(self, server: Server, taken: int, ratio: float) -> None:
-        """A report of a server's link, of the moment it was taken."""
-        server.link.add_report(taken, ratio)
+    def add_link_report(self, server: Server, measured_at: int, ratio: float) -> None:
+        """Adds a load report of a server's link."""
+        server.link.add_report(measured_at, ratio)
         self.table.reports_changed(server)
         self.mark_stale(server)
 
     def mark_stale(self, server: Server) -> None:
-        """Something is known of a link that its rack's sums do not have."""
-        if (held := self.rack_loads.get(server.row.cell % len(self.uplinks))) is not None:
-            held.stale_servers.add(server.row.server)
+        """Marks a link for recomputation before the next use of its rack's load, if the rack is large."""
+        if (load := self.rack_loads.get(server.row.cell % len(self.uplinks))) is not None:
+            load.stale_servers.add(server.row.server)
 
-    def record_setup_outcome(self, server: Server, well: bool) -> None:
-        server.setup_outcomes = [*server.setup_outcomes[-5:], (self.now, well)]
+    def record_setup_outcome(self, server: Server, ok: bool) -> None:
+        """Records that a set-up, or a probe that stands for one, succeeded or failed."""
+        server.setup_outcomes = [*server.setup_outcomes[-5:], (self.now, ok)]
         self.fleet.record_own(
             server.row.server,
             server.outcomes_since(self.now - (FIRST_SETUP_BACKOFF_US << MAX_BACKOFF_DOUBLINGS)),
         )
-        server.unsent_outcome |= (
-            not well or self.fleet.evidence.summary(self.now, server.row.server).failed > 0
-        )
+        server.unsent_outcome |= not ok or self.fleet.evidence.summary(self.now, server.row.server).failed > 0
         self.table.mark_unsent(server)
-        if well and server.seen_down_at is not None:
-            unseen = (
-                server.row.started_at < server.seen_down_at
-            )  # it may have restarted, and the list not know yet
-            server.seen_up_at, server.seen_down_at = self.now if unseen else server.seen_up_at, None
+        if ok and server.seen_down_at is not None:
+            # Its process may have restarted without discovery having told us yet
+            restart_unlisted = server.row.started_at < server.seen_down_at
+            server.seen_up_at, server.seen_down_at = self.now if restart_unlisted else server.seen_up_at, None
             self.table.mark_possibly_cold(server)
 
     def record_end(self, event: ev.Ended) -> None:
@@ -261,16 +301,18 @@
         if event.result is Result.FULL and self.facts.plant.refuse_at:
             self.add_link_report(server, self.now, max(self.facts.plant.refuse_at, 1.0))
         elif event.result is Result.ERROR and (
-            blamed := [
-                self.servers[at]
-                for at, _, end in sess.attempts
-                if end is Result.ERROR and at != event.server and at in self.servers
+            also_failed := [
+                self.servers[number]
+                for number, _, result in sess.attempts
+                if result is Result.ERROR and number != event.server and number in self.servers
             ]
         ):
-            for other in blamed:  # guards against a request that no server can use: two say so, none rests
-                bad = [i for i, (_, well) in enumerate(other.setup_outcomes) if not well]
-                other.setup_outcomes = [
-                    end for i, end in enumerate(other.setup_outcomes) if i not in bad[-1:]
+            # Two servers have failed the same request, so the request is at fault: the failure is not counted
+            # against this server, and the last one is taken back for the others
+            for blamed in also_failed:
+                failures = [i for i, (_, ok) in enumerate(blamed.setup_outcomes) if not ok]
+                blamed.setup_outcomes = [
+                    outcome for i, outcome in enumerate(blamed.setup_outcomes) if i not in failures[-1:]
                 ]
         elif event.result not in (Result.SERVED, Result.CANCELLED, Result.MOOT):
             self.record_setup_outcome(server, False)
@@ -285,65 +327,74 @@
         sess, server = self.sessions.get(note.req_id), self.servers.get(note.server)
         if sess is None or server is None:
             return
-        fresh = sess.playing_since is None or self.now - sess.playing_since < SECOND // 10
-        taken = self.now if fresh else self.now - self.facts.plant.note_delay
+        just_started = sess.playing_since is None or self.now - sess.playing_since < SECOND // 10
+        measured_at = self.now if just_started else self.now - self.facts.plant.note_delay
         match note.kind:
             case ev.NoteKind.RUNG:
                 sess.rung = round(note.value)
                 self.update_known_demand(server)
             case ev.NoteKind.LINK_ASKED:
                 server.reported_load = note.value
-                self.add_link_report(server, taken, note.value)
+                self.add_link_report(server, measured_at, note.value)
             case ev.NoteKind.UPLINK_ASKED:
-                self.uplink(server).add_report(taken, note.value)
+                self.uplink(server).add_report(measured_at, note.value)
             case ev.NoteKind.DELIVERED:
-                server.unsent_delivery = (taken, note.value)
+                server.unsent_delivery = (measured_at, note.value)
                 self.table.mark_unsent(server)
-                self.record_delivery(server, taken, note.value)
-
-    def record_delivery(self, server: Server, taken: int, share: float) -> None:
-        """Guards against titles above their rung and reports that are late, missing or stop at full.
-
-        The milder of the last two notes counts, so that a brief pause, which fills one, diverts nobody.
-        Most of a rack's servers short at once are short of uplink unless most of their links are full."""
-        server.delivery_notes = [*server.delivery_notes[-1:], (taken, share)]
-        mild = max(share for _, share in server.delivery_notes)
-        if share >= 0.98:  # what is delivered in full is not short: reports that it was are void
+                self.record_delivery(server, measured_at, note.value)
+
+    def record_delivery(self, server: Server, measured_at: int, ratio: float) -> None:
+        """Learns from a note which fraction of its sessions' rates a server delivered.
+
+        This finds overload where titles exceed the rate of their rung, and where load reports are late, are
+        missing or do not go beyond 1. The better of the last two notes counts, so that a brief pause, which
+        shows in one note only, moves no sessions. If most servers of a rack fall short at once, the uplink is
+        short, unless most of their links are full."""
+        server.delivery_notes = [*server.delivery_notes[-1:], (measured_at, ratio)]
+        best_ratio = max(ratio for _, ratio in server.delivery_notes)
+        if ratio >= 0.98:  # full delivery disproves the earlier reports of a shortage
             server.link.reports = [
-                (at, ratio) for at, ratio in server.link.reports if ratio < 1 or at > taken
+                (reported_at, load)
+                for reported_at, load in server.link.reports
+                if load < 1 or reported_at > measured_at
             ]
             self.table.reports_changed(server)
-        if mild >= 0.98 or len(server.delivery_notes) < 2:
+        if best_ratio >= 0.98 or len(server.delivery_notes) < 2:
             return
-        rack = self.uplink(server)
+        uplink = self.uplink(server)
         if (
             "uplink_asked" in self.facts.report_fields
-            and self.has_recent_report(rack)
-            and rack.reports[-1][1] >= 0.97
-            and server.reported_load < min(rack.reports[-1][1], 0.97)
+            and self.has_recent_report(uplink)
+            and uplink.reports[-1][1] >= 0.97
+            and server.reported_load < min(uplink.reports[-1][1], 0.97)
         ):
-            rack.add_report(taken, max(1 / max(mild, 0.1), rack.reports[-1][1]))
+            uplink.add_report(measured_at, max(1 / max(best_ratio, 0.1), uplink.reports[-1][1]))
             return
-        mates = self.rack_servers(server)
-        if len(mates) > MAX_COMPARED:  # of a large rack those where we play tell enough
-            mates = [m for m in self.table.in_use() if self.uplink(m) is rack][:MAX_COMPARED]
-        played = [m for m in mates if m.sessions or self.fleet.counts.likely(m.row.server)]
-        short = [
-            m.delivery_notes[-1][1]
-            for m in played
-            if m.delivery_notes
-            and m.delivery_notes[-1][1] < 0.98
-            and m.delivery_notes[-1][0] > taken - 2 * SECOND
+        rack_servers = self.rack_servers(server)
+        if len(rack_servers) > MAX_COMPARED:  # in a large rack the servers with sessions of ours suffice
+            rack_servers = [s for s in self.table.in_use() if self.uplink(s) is uplink][:MAX_COMPARED]
+        in_use = [s for s in rack_servers if s.sessions or self.fleet.counts.likely(s.row.server)]
+        short_ratios = [
+            s.delivery_notes[-1][1]
+            for s in in_use
+            if s.delivery_notes
+            and s.delivery_notes[-1][1] < 0.98
+            and s.delivery_notes[-1][0] > measured_at - 2 * SECOND
         ]
-        full = sum(m.link.reports[-1][1] >= 0.99 for m in played if self.has_recent_report(m.link))
-        if len(short) < 2 or 2 * len(short) <= len(played) or 2 * full > len(played):
-            self.add_link_report(server, taken, 1 / max(mild, 0.1))
-        elif "uplink_asked" not in self.facts.report_fields and self.is_demand_steady(rack, taken):
-            asked = rack.known_demand_at(taken) if self.all_demand_known(server) else self.rack_demand(server)
-            rack.shortage = (taken, asked * max(*short, 0.1))
+        full_links = sum(s.link.reports[-1][1] >= 0.99 for s in in_use if self.has_recent_report(s.link))
+        if len(short_ratios) < 2 or 2 * len(short_ratios) <= len(in_use) or 2 * full_links > len(in_use):
+            self.add_link_report(server, measured_at, 1 / max(best_ratio, 0.1))
+        elif "uplink_asked" not in self.facts.report_fields and self.is_demand_steady(uplink, measured_at):
+            demand = (
+                uplink.known_demand_at(measured_at)
+                if self.all_demand_known(server)
+                else self.rack_demand(server)
+            )
+            uplink.shortage = (measured_at, demand * max(*short_ratios, 0.1))
 
     def record_report(self, server: Server, report: dict[str, float]) -> None:
-        taken, ratio = self.now - REPORT_AGE_US, report.get("link_asked", report.get("util"))
+        """Records the load fields of a report that came with a probe or the end of a set-up."""
+        measured_at, ratio = self.now - REPORT_AGE_US, report.get("link_asked", report.get("util"))
         if ratio is not None:
             if (
                 "link_asked" not in report
@@ -351,83 +402,89 @@
                 and server.delivery_notes
                 and server.delivery_notes[-1][1] < 0.98
             ):
-                ratio = 1 / max(
-                    server.delivery_notes[-1][1], 0.1
-                )  # util stops at full: the notes tell how far over
-            self.add_link_report(server, taken, ratio)
-            server.unsent_report, server.reported_load = (taken, ratio), ratio
+                # `util` does not go beyond 1: the delivery notes tell how far demand exceeds capacity
+                ratio = 1 / max(server.delivery_notes[-1][1], 0.1)
+            self.add_link_report(server, measured_at, ratio)
+            server.unsent_report, server.reported_load = (measured_at, ratio), ratio
             self.table.mark_unsent(server)
         if "uplink_asked" in report:
-            self.uplink(server).add_report(taken, report["uplink_asked"])
+            self.uplink(server).add_report(measured_at, report["uplink_asked"])
 
     def record_peer_message(self, message: ev.PeerMessage) -> None:
-        word = words.unpack(message.payload)
-        self.last_message = message.payload, word
-        for number in self.fleet.receive(message.peer, word):
+        decoded = words.unpack(message.payload)
+        self.last_message = message.payload, decoded
+        for number in self.fleet.receive(message.peer, decoded):
             self.update_known_demand_of(number)
-        if isinstance(word, words.QueryReply):
-            asked = self.fleet.match_reply(message.peer, word)
-            for room in word.statuses if asked is not None else ():
-                if (server := self.servers.get(room.server)) is not None and asked is not None:
-                    server.apply_reply(asked, room)
-        elif isinstance(word, words.RateUpdate):
-            for rate in [rate for rate in word.rates if rate.server in self.servers]:
+        if isinstance(decoded, words.QueryReply):
+            queried_at = self.fleet.match_reply(message.peer, decoded)
+            for status in decoded.statuses if queried_at is not None else ():
+                if (server := self.servers.get(status.server)) is not None and queried_at is not None:
+                    server.apply_reply(queried_at, status)
+        elif isinstance(decoded, words.RateUpdate):
+            for rate in [rate for rate in decoded.rates if rate.server in self.servers]:
                 server = self.servers[rate.server]
                 if rate.delivered and (
                     not server.delivery_notes or server.delivery_notes[-1][0] < self.now - rate.delivered.age
                 ):
                     self.record_delivery(server, self.now - rate.delivered.age, rate.delivered.value)
-                taken = self.now - (rate.load.age if rate.load else 0)
-                if rate.load and (not server.link.reports or server.link.reports[-1][0] < taken):
-                    self.add_link_report(server, taken, rate.load.value)
+                measured_at = self.now - (rate.load.age if rate.load else 0)
+                if rate.load and (not server.link.reports or server.link.reports[-1][0] < measured_at):
+                    self.add_link_report(server, measured_at, rate.load.value)
 
     def uplink(self, server: Server) -> LinkState:
+        """The uplink of the server's rack."""
         return self.uplinks[server.row.cell % len(self.uplinks)]
 
-    def has_recent_report(self, pipe: LinkState) -> bool:
-        return bool(pipe.reports) and pipe.reports[-1][0] > self.now - 2 * REPORT_MISSING_US
+    def has_recent_report(self, link: LinkState) -> bool:
+        return bool(link.reports) and link.reports[-1][0] > self.now - 2 * REPORT_MISSING_US
 
     def update_known_demand(self, server: Server) -> None:
-        """What we know to be asked of a link and of its rack's uplink has changed."""
+        """Recomputes the known demand on a server's link and on its rack's uplink after a change of our
+        sessions there or of the rates that other fronts told us."""
         self.table.sessions_changed(server)
-        asked = server.own_demand() + self.fleet.counts.likely(server.row.server)
+        demand = server.own_demand() + self.fleet.counts.likely(server.row.server)
         before = server.link.known_demand[-1][1]
-        server.link.known_demand = [*server.link.known_demand[-39:], (self.now, asked)]
+        server.link.known_demand = [*server.link.known_demand[-39:], (self.now, demand)]
         self.mark_stale(server)
-        rack, mates = self.uplink(server), self.rack_servers(server)
-        in_all = (
-            sum(s.link.known_demand[-1][1] for s in mates)
-            if len(mates) <= MAX_COMPARED
-            else rack.known_demand[-1][1] + (asked - before if self.running_rack(server) is not None else 0.0)
+        uplink, rack_servers = self.uplink(server), self.rack_servers(server)
+        rack_demand = (
+            sum(s.link.known_demand[-1][1] for s in rack_servers)
+            if len(rack_servers) <= MAX_COMPARED
+            else uplink.known_demand[-1][1]
+            + (demand - before if self.running_rack(server) is not None else 0.0)
         )
-        rack.known_demand = [*rack.known_demand[-99:], (self.now, in_all)]
+        uplink.known_demand = [*uplink.known_demand[-99:], (self.now, rack_demand)]
 
     def update_known_demand_of(self, number: int) -> None:
+        """As `update_known_demand`, by the server's number; unknown servers are ignored."""
         if number in self.servers:
             self.update_known_demand(self.servers[number])
 
     def all_demand_known(self, server: Server) -> bool:
-        """Whether most fronts' rates are known, so that all that is asked of its rack is."""
+        """Whether we own the server's group and know the rates of most fronts there."""
         return self.fleet.is_synced(self.group_of(server))
 
     def group_of(self, server: Server) -> int:
         return self.group_by_rack[server.row.cell % len(self.uplinks)]
 
     def mean_fleet_load(self) -> float:
-        """The fleet's usual load, by the reports; without any, others are taken to ask as much as we do."""
+        """Mean load ratio of the servers, by their recent reports. Without any report, the other fronts are
+        assumed to have as much demand as this one."""
         if self.mean_load_at != self.now:
             load = self.table.mean_reported_load(self.now - 2 * REPORT_MISSING_US)
             if load is None:
-                ours = sum(s.own_demand() for s in self.table.in_use()) * self.facts.fronts
-                load = ours / max(self.table.total_kb, 1.0)
+                fleet_demand = sum(s.own_demand() for s in self.table.in_use()) * self.facts.fronts
+                load = fleet_demand / max(self.table.total_kb, 1.0)
             self.mean_load_at, self.mean_load = self.now, load
         return self.mean_load
 
     def demand(self, server: Server) -> float:
-        """What is asked of a link: a hub's word, or the last reports and what we know to have changed since.
+        """Demand on a server's link: from an owner's reply, else the known rates if they are complete, else
+        the last load report plus what is known to have changed since.
 
-        Guards against old word: long unheard of, a server counts as full as those with a report, one started
-        since as emptier, or nobody is sent to bring news. It may harm where the silent are the full ones."""
+        Without a recent report, a server is assumed to be as loaded as the mean of those with one, and less
+        if it started recently. Otherwise no session would go to a server with an old high report, and none
+        would bring a new one. The assumption is wrong where the servers without reports are the loaded ones."""
         if self.has_recent_reply(server):
             return server.last_reply[2] + server.own_demand()
         known = server.link.known_demand[-1][1]
@@ -435,251 +492,293 @@
             return known
         if self.has_recent_report(server.link):
             return max(server.own_demand(), server.link.unaccounted_demand() + known)
-        age = (self.now - server.process_started_at()) / self.facts.rules.cold
-        return max(server.own_demand(), server.link.capacity_kb * self.mean_fleet_load() * min(1.0, age))
+        age_ratio = (self.now - server.process_started_at()) / self.facts.rules.cold
+        return max(
+            server.own_demand(), server.link.capacity_kb * self.mean_fleet_load() * min(1.0, age_ratio)
+        )
 
     def has_recent_reply(self, server: Server) -> bool:
         return server.last_reply[0] > self.now - self.gossip_period_us
 
-    def idle_by_server(self, servers: list[Server], part: float | None = None) -> dict[int, float]:
-        """Told link less headroom and what is asked, capped by its share of its rack's idle uplink.
+    def idle_by_server(self, servers: list[Server], share: float | None = None) -> dict[int, float]:
+        """Idle capacity of these servers that this front may use, negative where demand exceeds capacity: the
+        link's capacity less headroom and demand, limited to the server's share of its rack's idle uplink.
 
-        Every front sees the same idle at once, so we take but our `part` of the link's; an arrival's part
-        is less where the load is guessed from others."""
-        found = dict[int, float]()
-        numbers = {s.row.server: s.row.cell % len(self.uplinks) for s in servers}
-        for server in servers:  # of large racks these links are reckoned as of now
+        All fronts see the same idle capacity at the same time, so a front takes only a `share` of it. By
+        default that is the share of one arrival, which is smaller where the load is estimated."""
+        idle_by_number = dict[int, float]()
+        racks = {s.row.server: s.row.cell % len(self.uplinks) for s in servers}
+        for server in servers:  # in large racks these links are recomputed as of now
             self.mark_stale(server)
-        stands = {number: self.rack_load(number) for number in set(numbers.values())}
+        loads = {rack: self.rack_load(rack) for rack in set(racks.values())}
         for server in servers:
-            at, link = server.row.server, server.link
-            stand = stands[numbers[at]]
-            room, blind = (
-                stand.residual_kb.get(at, 0.0),
+            number, link = server.row.server, server.link
+            load = loads[racks[number]]
+            residual, uncertainty = (
+                load.residual_kb.get(number, 0.0),
                 0 if self.all_demand_known(server) else 1 if self.has_recent_report(link) else 2,
             )
-            share = min(
-                room * (part or self.idle_share_ratios[blind]),
-                stand.uplink_residual_kb * room / stand.residual_divisor_kb * (part or 1),
+            usable = min(
+                residual * (share or self.idle_share_ratios[uncertainty]),
+                load.uplink_residual_kb * residual / load.residual_divisor_kb * (share or 1),
             )
-            ours = share if room > 0 else room
-            ours_short = (
-                stand.uplink_residual_kb * stand.demand_kb.get(at, 0.0) / max(stand.total_demand_kb, 1.0)
+            idle = usable if residual > 0 else residual
+            uplink_excess = (
+                load.uplink_residual_kb * load.demand_kb.get(number, 0.0) / max(load.total_demand_kb, 1.0)
             )
-            found[at] = ours if stand.uplink_residual_kb >= 0 else min(room, ours_short)
+            idle_by_number[number] = idle if load.uplink_residual_kb >= 0 else min(residual, uplink_excess)
         for server in filter(self.has_recent_reply, servers):
-            room = server.last_reply[1] - server.own_demand()
-            found[server.row.server] = room * (part or self.idle_share_ratios[0]) if room > 0 else room
-        return found
+            residual = server.last_reply[1] - server.own_demand()
+            idle_by_number[server.row.server] = (
+                residual * (share or self.idle_share_ratios[0]) if residual > 0 else residual
+            )
+        return idle_by_number
 
     def rack_load(self, number: int) -> RackLoad:
-        """A rack's links and uplink: each link's room, the uplink's spare, and what is asked of them.
-
-        Kept until what we know of the rack changes, a hub's for a little: most of its time goes here."""
-        rack, mates = self.uplinks[number], self.by_rack[number]
-        held, large = self.rack_loads.get(number), len(mates) > MAX_COMPARED
-        if held is not None and large:
-            self.refresh_rack_load(number, held)
-            return held
+        """Demand and residual capacity of a rack's links and uplink.
+
+        In a fleet that queries its owners, the result is kept until the rack's known demand changes, for
+        `rack_load_ttl_us` at most: most of an owner's processor time goes here. Large racks are kept up to
+        date link by link (`refresh_rack_load`)."""
+        uplink, rack_servers = self.uplinks[number], self.by_rack[number]
+        cached, large = self.rack_loads.get(number), len(rack_servers) > MAX_COMPARED
+        if cached is not None and large:
+            self.refresh_rack_load(number, cached)
+            return cached
         if (
-            held is not None
+            cached is not None
             and not large
-            and held.known_demand is rack.known_demand
-            and self.now - held.computed_at < self.rack_load_ttl_us
+            and cached.known_demand is uplink.known_demand
+            and self.now - cached.computed_at < self.rack_load_ttl_us
         ):
-            return held
-        asked = {s.row.server: self.demand(s) for s in mates}
-        rooms = {
-            s.row.server: self.link_capacity(s) * (1 - HEADROOM_RATIO) - asked[s.row.server] for s in mates
+            return cached
+        demand_kb = {s.row.server: self.demand(s) for s in rack_servers}
+        residual_kb = {
+            s.row.server: self.link_capacity(s) * (1 - HEADROOM_RATIO) - demand_kb[s.row.server]
+            for s in rack_servers
         }
-        open_kb = sum(kb for kb in rooms.values() if kb > 0)
-        stands = RackLoad(self.now, rack.known_demand, rooms, asked, open_kb, sum(asked.values()))
-        stands.uplink_residual_kb = self.uplink_residual(rack, stands.total_demand_kb)
-        self.rack_loads[number] = stands
-        return stands
-
-    def refresh_rack_load(self, number: int, held: RackLoad) -> None:
-        """The sums of a large rack, with what has changed in it, and some links in turn."""
-        changed, held.stale_servers = held.stale_servers, set()
-        if self.now - held.computed_at >= RACK_REFRESH_PERIOD_US:
-            held.computed_at, mates = self.now, self.by_rack[number]
-            held.refresh_offset = (held.refresh_offset + SAMPLED_HOLDERS) % len(mates)
-            changed.update(
-                s.row.server for s in mates[held.refresh_offset : held.refresh_offset + SAMPLED_HOLDERS]
+        positive_kb = sum(kb for kb in residual_kb.values() if kb > 0)
+        load = RackLoad(
+            self.now, uplink.known_demand, residual_kb, demand_kb, positive_kb, sum(demand_kb.values())
+        )
+        load.uplink_residual_kb = self.uplink_residual(uplink, load.total_demand_kb)
+        self.rack_loads[number] = load
+        return load
+
+    def refresh_rack_load(self, number: int, load: RackLoad) -> None:
+        """Updates the load of a large rack: the stale links and, once in a while, the next few in turn."""
+        stale, load.stale_servers = load.stale_servers, set()
+        if self.now - load.computed_at >= RACK_REFRESH_PERIOD_US:
+            load.computed_at, rack_servers = self.now, self.by_rack[number]
+            load.refresh_offset = (load.refresh_offset + SAMPLED_HOLDERS) % len(rack_servers)
+            stale.update(
+                s.row.server
+                for s in rack_servers[load.refresh_offset : load.refresh_offset + SAMPLED_HOLDERS]
             )
-        for at in sorted(changed):
-            server = self.servers.get(at)
+        for server_number in sorted(stale):
+            server = self.servers.get(server_number)
             gone = server is None or server.row.state is ServerState.GONE
             if server is None or gone or self.rack_number(server) != number:
-                held.remove_link(at)
+                load.remove_link(server_number)
             else:
-                asked = self.demand(server)
-                held.set_link(at, self.link_capacity(server) * (1 - HEADROOM_RATIO) - asked, asked)
-        held.uplink_residual_kb = self.uplink_residual(self.uplinks[number], held.total_demand_kb)
+                demand = self.demand(server)
+                load.set_link(
+                    server_number, self.link_capacity(server) * (1 - HEADROOM_RATIO) - demand, demand
+                )
+        load.uplink_residual_kb = self.uplink_residual(self.uplinks[number], load.total_demand_kb)
 
-    def uplink_residual(self, rack: LinkState, in_all: float) -> float:
-        """Of a rack's uplink, where so much is asked of its links."""
-        total = in_all
-        if "uplink_asked" in self.facts.report_fields and self.has_recent_report(rack):
-            total = rack.unaccounted_demand() + rack.known_demand[-1][1]
-        return self.uplink_capacity(rack, total) * (1 - HEADROOM_RATIO) - total
+    def uplink_residual(self, uplink: LinkState, links_demand_kb: float) -> float:
+        """Residual capacity of an uplink, given the sum of the demand on its rack's links. Recent reports of
+        the uplink itself take precedence over that sum."""
+        total = links_demand_kb
+        if "uplink_asked" in self.facts.report_fields and self.has_recent_report(uplink):
+            total = uplink.unaccounted_demand() + uplink.known_demand[-1][1]
+        return self.uplink_capacity(uplink, total) * (1 - HEADROOM_RATIO) - total
 
     def rack_number(self, server: Server) -> int:
         return server.row.cell % len(self.uplinks)
 
     def rack_demand(self, server: Server) -> float:
-        mates = self.rack_servers(server)
-        if len(mates) <= MAX_COMPARED:
-            return sum(map(self.demand, mates))
+        """Total demand on the links of the server's rack."""
+        rack_servers = self.rack_servers(server)
+        if len(rack_servers) <= MAX_COMPARED:
+            return sum(map(self.demand, rack_servers))
         return self.rack_load(self.rack_number(server)).total_demand_kb
 
     def arrival_share(self) -> float:
-        """Of a holder's idle that an arrival takes: as many others come there before the account knows."""
+        """The share of a holder's idle capacity that one arrival may take, so that it suffices for all that
+        are expected there before known demand includes the first."""
         facts = self.facts
-        age = (
+        delay = (
             REPLY_TIMEOUT_US
             if self.fleet.gossip_enabled
             else facts.plant.note_delay + facts.plant.note_every // 2
         )
-        come = self.arrivals.rate_per_s(self.now, 10 * SECOND) * facts.fronts
-        meet = come / max(len(self.table.ready), 1) * age / SECOND
-        return 1 / (1 + min(meet, (facts.fronts - 1)))
+        fleet_arrivals_per_s = self.arrivals.rate_per_s(self.now, 10 * SECOND) * facts.fronts
+        concurrent = fleet_arrivals_per_s / max(len(self.table.ready), 1) * delay / SECOND
+        return 1 / (1 + min(concurrent, (facts.fronts - 1)))
 
     def rack_servers(self, server: Server) -> list[Server]:
+        """All servers of the server's rack that are not gone."""
         return self.by_rack[server.row.cell % len(self.uplinks)]
 
     def link_capacity(self, server: Server) -> float:
-        """A link as told, a cold server's as cold as it is, or as learned: known rate over reported ratio."""
-        link, cold, least = server.link, self.facts.rules.cold, self.facts.rules.cold_from
-        # Guards against a link believed wide as reports stop at full: near full they prove no more than told
-        stops = math.inf if "link_asked" in self.facts.report_fields else 0.9
-        seen = (
+        """Capacity of a server's link: the median of what reports showed (known demand over reported load
+        ratio) where all demand is known, else the nominal one, reduced while the server is cold."""
+        link, cold, cold_ratio = server.link, self.facts.rules.cold, self.facts.rules.cold_from
+        # Reports of `util` do not go beyond 1. Near 1 demand may exceed capacity, so they must not make us
+        # assume more than the nominal capacity
+        reliable_below = math.inf if "link_asked" in self.facts.report_fields else 0.9
+        estimates = (
             sorted(
-                min(link.known_demand_at(taken) / ratio, math.inf if ratio < stops else link.capacity_kb)
-                for taken, ratio in link.reports
+                min(
+                    link.known_demand_at(measured_at) / ratio,
+                    math.inf if ratio < reliable_below else link.capacity_kb,
+                )
+                for measured_at, ratio in link.reports
                 if ratio > 0.25
-                and taken > self.fleet.synced_since[self.group_of(server)]
-                and self.is_demand_steady(link, taken)
+                and measured_at > self.fleet.synced_since[self.group_of(server)]
+                and self.is_demand_steady(link, measured_at)
             )
             if self.all_demand_known(server)
             else []
         )
-        if seen:
-            return min(max(seen[len(seen) // 2], link.capacity_kb * 0.1), link.capacity_kb * 1.6)
+        if estimates:
+            return min(max(estimates[len(estimates) // 2], link.capacity_kb * 0.1), link.capacity_kb * 1.6)
         return link.capacity_kb * min(
-            1.0, least + (1 - least) * (self.now - server.process_started_at()) / cold
+            1.0, cold_ratio + (1 - cold_ratio) * (self.now - server.process_started_at()) / cold
         )
 
-    def is_demand_steady(self, pipe: LinkState, taken: int) -> bool:
-        """Guards against learning what a pipe gives from a report whose age is only guessed, while what is
-        known to be asked changes fast: after a loss a tenth would be learned. It may harm in a long rise."""
-        known = [pipe.known_demand_at(taken + shift) for shift in (-REPORT_AGE_US, 0, REPORT_AGE_US)]
+    def is_demand_steady(self, link: LinkState, measured_at: int) -> bool:
+        """Whether known demand was steady around a report, so that a capacity may be learned from it.
+
+        The age of a report is only estimated. If known demand changes fast, as after a loss of sessions, a
+        tenth of the true capacity would be learned. During a long rise nothing is learned."""
+        known = [link.known_demand_at(measured_at + shift) for shift in (-REPORT_AGE_US, 0, REPORT_AGE_US)]
         return min(known) >= STEADY_DEMAND_RATIO * max(known)
 
-    def uplink_capacity(self, rack: LinkState, total: float) -> float:
-        """An uplink as told or, once short, as the shortage showed; while nobody is short, a little more."""
-        since, uplink = rack.shortage or (self.created_at, rack.capacity_kb)
+    def uplink_capacity(self, uplink: LinkState, demand_kb: float) -> float:
+        """Capacity of an uplink: the nominal one or, after a shortage, the rate that was delivered then.
+        While there is no further shortage, it is raised little by little, up to slightly above demand."""
+        since, capacity = uplink.shortage or (self.created_at, uplink.capacity_kb)
         if "uplink_asked" in self.facts.report_fields:
-            return rack.capacity_kb
-        uplink = max(uplink, rack.capacity_kb * MIN_UPLINK_RATIO)
+            return uplink.capacity_kb
+        capacity = max(capacity, uplink.capacity_kb * MIN_UPLINK_RATIO)
         return min(
-            uplink * (1 + UPLINK_REGAIN_RATIO_PER_S * (self.now - since) / SECOND),
-            max(uplink, rack.capacity_kb, total * 1.1),
+            capacity * (1 + UPLINK_REGAIN_RATIO_PER_S * (self.now - since) / SECOND),
+            max(capacity, uplink.capacity_kb, demand_kb * 1.1),
         )
 
     def utility_per_rate(self, sess: Sess, rung: int) -> float:
-        """Utility per rate of the step from the rung below."""
+        """Utility per rate of the step to `rung` from the rung below."""
         ladder, rung = sess.ladder, min(rung, len(sess.ladder.rate_kb) - 1)  # a ladder may have one rung
-        step = sess.rate(rung) - sess.rate(rung - 1)
-        return sess.group.utility * (ladder.utility[rung] - ladder.utility[rung - 1]) / max(step, 1e-9)
-
-    def assign_rungs(self, sessions: list[Sess], budget: float, caps: list[int]) -> list[int]:
-        """The design's loop: all at the lowest rung, then a step for whoever gains most utility per rate."""
-        rungs = [sess.group.floor for sess in sessions]  # also of who can use less: the terms come first
-        budget -= sum(sess.rate(rung) for sess, rung in zip(sessions, rungs, strict=True))
+        step_kb = sess.rate(rung) - sess.rate(rung - 1)
+        return sess.group.utility * (ladder.utility[rung] - ladder.utility[rung - 1]) / max(step_kb, 1e-9)
+
+    def assign_rungs(self, sessions: list[Sess], budget_kb: float, max_rungs: list[int]) -> list[int]:
+        """The design's greedy loop: all sessions start at their floor, then the session whose next step has
+        the highest utility per rate takes it, until the budget is used up. Returns a rung per session."""
+        # The floor is a term of the service group: it holds also for players that can use less
+        rungs = [sess.group.floor for sess in sessions]
+        budget_kb -= sum(sess.rate(rung) for sess, rung in zip(sessions, rungs, strict=True))
         steps = [
             (-self.utility_per_rate(sess, rung + 1), i)
             for i, (sess, rung) in enumerate(zip(sessions, rungs, strict=True))
-            if rung < caps[i]
+            if rung < max_rungs[i]
         ]
         heapq.heapify(steps)
         while steps:
             _, i = heapq.heappop(steps)
-            step = sessions[i].rate(rungs[i] + 1) - sessions[i].rate(rungs[i])
-            if step > budget:  # the budget only shrinks: this session has had its last step
+            step_kb = sessions[i].rate(rungs[i] + 1) - sessions[i].rate(rungs[i])
+            if step_kb > budget_kb:  # the budget only shrinks, so no later step of this session fits either
                 continue
             rungs[i] += 1
-            budget -= step
-            if rungs[i] < caps[i]:
+            budget_kb -= step_kb
+            if rungs[i] < max_rungs[i]:
                 heapq.heappush(steps, (-self.utility_per_rate(sessions[i], rungs[i] + 1), i))
         return rungs
 
     def usable_rung(self, sess: Sess) -> int:
-        """The highest rung that a player can use, by its own word while that is fresh.
+        """The highest rung that the player can use, by its last hint if that is recent.
 
-        Guards against rates that nobody takes, and against raising who starves. It may harm where a player's
-        measure is low for a moment: until its next word, or for as long as one counts."""
+        Rates beyond it would be reserved and not used, and a starving player is not raised. If a player's
+        measurement is low only for a moment, the limit lasts until its next hint or the hint's expiry."""
         means, rung = sess.means, sess.top
         if means is None or means.taken <= self.now - PLAYER_HINT_TTL_US:
             return rung
-        most = min(means.top_kb or math.inf, (means.throughput_kb or math.inf) * THROUGHPUT_USE_RATIO)
-        while rung > sess.group.floor and sess.rate(rung) > most:
+        max_rate_kb = min(means.top_kb or math.inf, (means.throughput_kb or math.inf) * THROUGHPUT_USE_RATIO)
+        while rung > sess.group.floor and sess.rate(rung) > max_rate_kb:
             rung -= 1
-        held = sess.playing_since is not None and self.is_starving(sess)
-        return max(min(rung, sess.rung), sess.group.floor) if held else rung
+        hold = sess.playing_since is not None and self.is_starving(sess)
+        return max(min(rung, sess.rung), sess.group.floor) if hold else rung
 
     def is_starving(self, sess: Sess) -> bool:
+        """Whether the player's recent hint says that it has starved or runs out of media in half a second."""
         means = sess.means
         if means is None or means.taken <= self.now - PLAYER_HINT_TTL_US:
             return False
-        soon = min(SECOND if left is None else left for left in (means.buffer, means.due))
-        return means.starved or soon < SECOND // 2
+        time_left = min(SECOND if value is None else value for value in (means.buffer, means.due))
+        return means.starved or time_left < SECOND // 2
 
     def place(self, sess: Sess) -> Server | None:
-        """Size by the holders' pooled idle, take the one with most, cap the rung to fit and size again."""
-        open_now = self.eligible_holders(sess)
-        if not open_now:
+        """Chooses the server of a session and sets its rung. None: no holder is eligible, or none has
+        capacity left and most of our sessions are at their floor.
+
+        The rung is sized by the holders' pooled idle capacity, the holder with the most idle capacity is
+        taken (a holder in our zone or in use may have less), and the rung is lowered until it fits there."""
+        eligible = self.eligible_holders(sess)
+        if not eligible:
             return None
-        fit = [s for s in open_now if self.setup_backoff_until(s) <= self.now]
-        fit = (
-            [s for s in fit if all(s.row.server != at for at, _, _ in sess.attempts)]
-            or fit
-            or [min(open_now, key=lambda s: (self.setup_backoff_until(s), s.row.server))]
+        candidates = [s for s in eligible if self.setup_backoff_until(s) <= self.now]
+        candidates = (
+            [s for s in candidates if all(s.row.server != number for number, _, _ in sess.attempts)]
+            or candidates
+            or [min(eligible, key=lambda s: (self.setup_backoff_until(s), s.row.server))]
         )
-        # Guards against hearsay that would leave nobody: half of a title's holders are avoided at most
-        avoided = list(filter(self.is_avoided, fit))[: len(open_now) // 2]
-        fit = [s for s in fit if s not in avoided] or fit
-        fit = list(filter(self.has_recent_reply, fit)) or fit
-        idle = self.idle_by_server(fit)
-        first = self.chance.draw(len(fit))  # fronts that see alike must not all take the same of equals
-        by_idle = sorted(fit[first:] + fit[:first], key=lambda s: -idle[s.row.server])
-        best, close = by_idle[0], PREFERRED_IDLE_RATIO if self.facts.prices.cross_zone > 0 else 1.0
-        near = next((s for s in by_idle if s.row.zone == self.facts.zone), best)
-        best = near if idle[near.row.server] >= close * idle[best.row.server] > 0 else best
-        # Guards against hundreds of fronts that each connect to all servers and ask all for signs of life:
-        # where we have sessions is good enough. It may harm where ours alone fill a link: half its idle stays
-        met = next((s for s in by_idle if s.sessions and s.row.zone == best.row.zone), best)
-        many = self.fleet.gossip_enabled and self.facts.fronts > LOW_CONTENTION_FRONTS
+        # At most half of a title's holders are avoided: other fronts' evidence must not leave none
+        avoided = list(filter(self.is_avoided, candidates))[: len(eligible) // 2]
+        candidates = [s for s in candidates if s not in avoided] or candidates
+        candidates = list(filter(self.has_recent_reply, candidates)) or candidates
+        idle = self.idle_by_server(candidates)
+        # Fronts with the same view must not all choose the same one of several equal holders
+        first = self.chance.draw(len(candidates))
+        by_idle = sorted(candidates[first:] + candidates[:first], key=lambda s: -idle[s.row.server])
+        best, min_ratio = by_idle[0], PREFERRED_IDLE_RATIO if self.facts.prices.cross_zone > 0 else 1.0
+        same_zone = next((s for s in by_idle if s.row.zone == self.facts.zone), best)
+        best = same_zone if idle[same_zone.row.server] >= min_ratio * idle[best.row.server] > 0 else best
+        # With hundreds of fronts, not each should connect to all servers and ask all of them for signs of
+        # life: a server that has sessions of ours is good enough. Our sessions alone could fill a link this
+        # way, so it must have at least half of the best one's idle capacity
+        in_use = next((s for s in by_idle if s.sessions and s.row.zone == best.row.zone), best)
+        many_fronts = self.fleet.gossip_enabled and self.facts.fronts > LOW_CONTENTION_FRONTS
         best = (
-            met if many and idle[met.row.server] >= PREFERRED_IDLE_RATIO * idle[best.row.server] > 0 else best
+            in_use
+            if many_fronts and idle[in_use.row.server] >= PREFERRED_IDLE_RATIO * idle[best.row.server] > 0
+            else best
         )
         if idle[best.row.server] < 0:
             playing = [s for s in self.sessions.values() if s.playing_since is not None]
+            # Few sessions can be lowered to make room: one more would cost the others more than it gains
             if sum(s.rung <= s.group.floor for s in playing) * 2 > len(playing) > 1:
-                return None  # few could be cut to make room: one more costs the others more than it earns
-        count = self.table.holder_count(sess.req.home, sess.req.span)
-        more = count / (SAMPLED_HOLDERS + SAMPLED_IN_USE) if count > MAX_COMPARED else 1.0
-        pooled = sum(max(0.0, kb) for kb in idle.values()) * more
-        sess.rung = self.assign_rungs([sess], pooled, [self.usable_rung(sess)])[0]
-        most = min(idle[best.row.server], self.idle_by_server([best], self.arrival_share())[best.row.server])
-        while sess.rung > sess.group.floor and sess.rate(sess.rung) > most:
-            sess.rung = self.assign_rungs([sess], pooled, [sess.rung - 1])[0]
+                return None
+        holder_count = self.table.holder_count(sess.req.home, sess.req.span)
+        holders_per_sample = (
+            holder_count / (SAMPLED_HOLDERS + SAMPLED_IN_USE) if holder_count > MAX_COMPARED else 1.0
+        )
+        pooled_idle = sum(max(0.0, kb) for kb in idle.values()) * holders_per_sample
+        sess.rung = self.assign_rungs([sess], pooled_idle, [self.usable_rung(sess)])[0]
+        max_rate_kb = min(
+            idle[best.row.server], self.idle_by_server([best], self.arrival_share())[best.row.server]
+        )
+        while sess.rung > sess.group.floor and sess.rate(sess.rung) > max_rate_kb:
+            sess.rung = self.assign_rungs([sess], pooled_idle, [sess.rung - 1])[0]
         return best
 
-    # The guard: every SETUP passes here, at the moment it is sent
+    # Admission: every SETUP passes these rules when it is sent
 
     def eligible_holders(self, sess: Sess, paced: bool = True) -> list[Server]:
-        """The holders of its title that a SETUP may go to now; without `paced`, also those that are cold."""
+        """The holders of the session's title to which a SETUP may be sent now; without `paced`, also those
+        that may be sent to later because they are, or may be, cold."""
         if self.retries_exhausted(sess) or 0 < sess.group.seats <= self.seats_in_use.get(sess.seat_key(), 0):
             return []
         return [
@@ -689,117 +788,133 @@
         ]
 
     def candidate_holders(self, home: int, span: int) -> list[Server]:
-        """The holders of a title or, of very many, some by chance and some of those where we play.
+        """The holders of a title; if there are very many, a random sample and some that we have sessions on.
 
         Source: Mitzenmacher, "The Power of Two Choices in Randomized Load Balancing", 2001: the best of a few
-        drawn by chance is close to the best of all."""
+        drawn at random is close to the best of all."""
         count, holds = self.table.holder_count(home, span), self.facts.plant.holds
         if count <= MAX_COMPARED:
             return self.table.holders(home, span)
-        drawn = self.table.holders_at_positions(
+        sampled = self.table.holders_at_positions(
             home, span, (self.chance.draw(count) for _ in range(SAMPLED_HOLDERS))
         )
-        ours = [
+        in_use = [
             s
             for s in self.table.in_use()
             if s.row.state is ServerState.READY and holds(s.row.cell, home, span)
         ]
-        first = self.chance.draw(max(len(ours), 1))
-        some = (ours[first:] + ours[:first])[:SAMPLED_IN_USE]
-        return sorted({s.row.server: s for s in (*drawn, *some)}.values(), key=lambda s: s.order)
+        first = self.chance.draw(max(len(in_use), 1))
+        sampled_in_use = (in_use[first:] + in_use[:first])[:SAMPLED_IN_USE]
+        return sorted({s.row.server: s for s in (*sampled, *sampled_in_use)}.values(), key=lambda s: s.order)
 
     def retries_exhausted(self, sess: Sess) -> bool:
-        """Whether no SETUP may follow: too many, or none left in the budget; `serve` has but one out."""
+        """Whether no further SETUP may be sent for a session: it has used up its attempts, or the retry
+        budget is spent. `serve` never has more than one SETUP of a session in flight."""
         rules, since = self.facts.rules, self.now - self.facts.rules.resend_span
         if rules.spare_setups is None or not sess.attempts:
             return len(sess.attempts) >= self.facts.permissions.max_attempts
-        taken, resent = (
+        requests, retries = (
             sum(at > since for at in self.request_times),
             sum(at >= since for at in self.retry_times),
         )
-        over = resent + 1 > rules.spare_setups + rules.resend_ratio * taken
-        return over or len(sess.attempts) >= self.facts.permissions.max_attempts
+        over_budget = retries + 1 > rules.spare_setups + rules.resend_ratio * requests
+        return over_budget or len(sess.attempts) >= self.facts.permissions.max_attempts
 
     def may_resend(self, sess: Sess, server: Server) -> bool:
-        """Unsafe: only after proof that nothing ran. Keyed: only where and while the key is remembered."""
+        """Whether the set-up may be sent again, to this server, given the earlier attempts.
+
+        An unsafe set-up: only if it is proven that none was executed. A keyed one: also to servers that
+        remember the key together with those that may have executed it, for as long as they remember it."""
         if not sess.attempts or sess.group.effect is Effect.SAFE:
             return True
-        ran = [
-            (self.servers[at].row, sent)
-            for at, sent, end in sess.attempts
-            if end not in NEVER_RAN and at in self.servers
+        may_have_run = [
+            (self.servers[number].row, sent_at)
+            for number, sent_at, result in sess.attempts
+            if result not in NEVER_RAN and number in self.servers
         ]
-        if all(end in NEVER_RAN for _, _, end in sess.attempts):
+        if all(result in NEVER_RAN for _, _, result in sess.attempts):
             return True
-        if len(ran) < sum(end not in NEVER_RAN for _, _, end in sess.attempts):
-            return False  # a server where it may have run is forgotten
-        same = {
+        if len(may_have_run) < sum(result not in NEVER_RAN for _, _, result in sess.attempts):
+            return False  # a server that may have executed it is not known any more
+        shares_memory = {
             Scope.ALL: True,
-            Scope.ZONE: all(row.zone == server.row.zone for row, _ in ran),
-            Scope.CELL: all(row.cell == server.row.cell for row, _ in ran),
+            Scope.ZONE: all(row.zone == server.row.zone for row, _ in may_have_run),
+            Scope.CELL: all(row.cell == server.row.cell for row, _ in may_have_run),
         }[sess.group.scope]
         return (
             sess.group.effect is Effect.KEYED
-            and same
-            and all(self.now < sent + sess.group.memory for _, sent in ran)
+            and shares_memory
+            and all(self.now < sent_at + sess.group.memory for _, sent_at in may_have_run)
         )
 
     def paced_until(self, server: Server) -> int:
-        """When this front may next send to a server that is cold, or may be.
+        """When this front may next send to a server that is cold or may be; 0 or a past time: now.
 
-        Known to be cold, or lost: time is cut into slots that each hold one set-up, and fronts take turns: in
-        a span of N slots come N sends and a run of them, whoever is deaf. Where we have just begun and nobody
-        tells that it is warm, our own sends are spaced by our share; the first waits for no turn."""
+        If the server is known to be cold, or was seen down, time is divided into slots of one set-up each and
+        the fronts take turns. In N slots at most N set-ups plus one run of them are sent, even if fronts do
+        not hear each other. If this front has just started and nobody says that the server is warm, its own
+        set-ups are spaced by its share of the slots; the first one need not wait for a turn."""
         rules, fronts = self.facts.rules, self.facts.fronts
-        known = self.is_cold(server)
+        known_cold = self.is_cold(server)
         if (
-            not known
+            not known_cold
             and server.seen_down_at is None
             and (self.now - self.created_at >= rules.cold or self.is_warm(server))
         ):
             return 0
         if server.unused_grant_at > self.now - REPLY_TIMEOUT_US:
             return 0
-        slot = self.cold_slot_us(server)
-        if not known and server.seen_down_at is None:
-            return server.last_setup_at + slot * fronts
+        slot_us = self.cold_slot_us(server)
+        if not known_cold and server.seen_down_at is None:
+            return server.last_setup_at + slot_us * fronts
         if (
-            known
+            known_cold
             and self.fleet.queries_owners
             and not self.fleet.shares.may_use_own(self.now, self.group_of(server))
         ):
-            return (
-                self.now + REPLY_TIMEOUT_US
-            )  # our part is lent, or may be by our life before: a keeper grants
+            # Our share is lent, or may have been in our previous incarnation: an owner has to grant the send
+            return self.now + REPLY_TIMEOUT_US
         run = min(
-            fronts, int(COLD_PACE_RATIO * SECOND / (slot * self.arrival_rate(server))), self.cold_burst(slot)
+            fronts,
+            int(COLD_PACE_RATIO * SECOND / (slot_us * self.arrival_rate(server))),
+            self.cold_burst(slot_us),
         )
-        turn = (self.now + self.facts.wall) // slot
-        since = (turn - self.facts.me) % fronts
-        if since < max(run, 1) and server.last_setup_at + self.facts.wall < (turn - since) * slot:
+        slot = (self.now + self.facts.wall) // slot_us
+        slots_since_turn = (slot - self.facts.me) % fronts
+        if (
+            slots_since_turn < max(run, 1)
+            and server.last_setup_at + self.facts.wall < (slot - slots_since_turn) * slot_us
+        ):
             return 0
-        return (turn + fronts - since) * slot - self.facts.wall
+        return (slot + fronts - slots_since_turn) * slot_us - self.facts.wall
 
     def is_cold(self, server: Server) -> bool:
+        """Whether the server's process started too recently to take its full rate of set-ups."""
         return self.now - server.process_started_at() < self.facts.rules.cold
 
     def cold_slot_us(self, server: Server) -> int:
-        """The time that one set-up takes of what a server bears when it is coldest (us)."""
+        """Time between two set-ups at the rate that a server can take when it has just started."""
         rules = self.facts.rules
-        per_warming = self.facts.plant.streams[server.row.kind] * rules.cold_from * rules.fall_multiple
-        return int(rules.cold / max(per_warming, 0.01))
+        setups_per_cold_period = (
+            self.facts.plant.streams[server.row.kind] * rules.cold_from * rules.fall_multiple
+        )
+        return int(rules.cold / max(setups_per_cold_period, 0.01))
+
+    def cold_burst(self, slot_us: int) -> int:
+        """Set-ups that may be sent at once to a cold server, in our turn or as one owner's grants.
 
-    def cold_burst(self, slot: int) -> int:
-        """Set-ups that may come at once, by turns or by one keeper's grants: together the two roots and two
-        that are chance beyond the N slots of the rule's span, less those that a connection holds back."""
-        among, late = (
+        With N slots in the span of the rule (`rules.fall`), 2 * sqrt(N) + 2 set-ups above N are put down to
+        chance. That allowance, less the set-ups that arrive late as connecting takes time, is divided among
+        the sources of bursts: the turns and each owner of the group."""
+        sources, delayed = (
             1 + OWNERS_PER_GROUP if self.fleet.queries_owners else 1,
-            self.facts.permissions.connect_timeout / slot,
+            self.facts.permissions.connect_timeout / slot_us,
         )
-        return max(1, int((2 * math.sqrt(self.facts.rules.fall / slot) + 2 - late) / among))
+        return max(1, int((2 * math.sqrt(self.facts.rules.fall / slot_us) + 2 - delayed) / sources))
 
     def arrival_rate(self, server: Server) -> float:
-        """Arrivals a second that could go to a server: by ten seconds, or by one where that has more."""
+        """Arrivals a second that could go to a server: the mean of the last ten seconds, or the number in the
+        last second less one, if that is more."""
         place = server.row.cell, self.facts.plant.cells
         return max(
             self.arrivals.rate_per_s(self.now, 10 * SECOND, place),
@@ -807,8 +922,9 @@
         )
 
     def is_warm(self, server: Server) -> bool:
-        """Whether somebody has a session there that began before the server could be cold: we, a front that
-        told us, or one that told a hub. A process that dies resets its connections, so who has one knows."""
+        """Whether a front has a session there that began before the server could be cold: this one, one that
+        told us, or one that told an owner. A process that dies resets its connections, so a front with such a
+        session knows that the process has not been restarted."""
         return (
             server.told_warm_at > self.now - self.gossip_period_us
             or self.has_warming_session(server)
@@ -816,11 +932,13 @@
         )
 
     def has_warming_session(self, server: Server) -> bool:
+        """Whether a session of ours there is old enough to prove that the server is not cold."""
         return server.has_session_from_before(self.now - self.facts.rules.cold)
 
     def may_reply_busy(self, sess: Sess) -> bool:
+        """Whether the viewer may be told to come back: the set-up was not executed or may be repeated."""
         return (
-            all(end in NEVER_RAN for _, _, end in sess.attempts)
+            all(result in NEVER_RAN for _, _, result in sess.attempts)
             or sess.group.effect is Effect.SAFE
             or (sess.group.effect, sess.group.scope) == (Effect.KEYED, Scope.ALL)
         )
@@ -833,34 +951,37 @@
         return self.sessions.setdefault(req.req_id, sess)
 
     def session(self, req: ev.SessionRequest) -> Script:
+        """The script of a requested session: sets it up and ends with the viewer's final answer."""
         sess = self.open_session(req)
         yield from self.serve(sess)
         self.close_session(sess)
 
     def serve(self, sess: Sess) -> Script:
-        req_id, allowed = sess.req.req_id, self.facts.permissions
+        """Places the session and sends SETUPs, one at a time, until it plays, the viewer has left or there is
+        no holder to try before the deadline; then it is refused."""
+        req_id, permissions = sess.req.req_id, self.facts.permissions
         while self.now < sess.deadline:
             yield from self.inquire(sess)
             if sess.viewer_done:
                 return
             server = self.place(sess) if self.now < sess.deadline else None
             if server is None:
-                later = self.eligible_holders(sess, paced=False)
-                chance = min(map(self.paced_until, later), default=sess.deadline)
-                if not self.now < chance < sess.deadline and (chance := self.retry_at(sess)) <= self.now:
+                unpaced = self.eligible_holders(sess, paced=False)
+                next_try = min(map(self.paced_until, unpaced), default=sess.deadline)
+                if not self.now < next_try < sess.deadline and (next_try := self.retry_at(sess)) <= self.now:
                     break
-                got: ResumeValue = yield act.Wait(chance)
+                result: ResumeValue = yield act.Wait(next_try)
             else:
                 self.record_setup(sess, server)
                 yield from self.send_updates([server])
                 if sess.top >= sess.group.floor:
                     yield act.SetRung(req_id, sess.rung)
-                got = yield act.Setup(req_id, server.row.server, self.setup_timeout(sess))
-            if isinstance(got, ev.Started):
+                result = yield act.Setup(req_id, server.row.server, self.setup_timeout(sess))
+            if isinstance(result, ev.Started):
                 sess.playing_since = self.now
                 yield act.Play()
                 return
-            if isinstance(got, ev.ViewerLeft) or (isinstance(got, ev.Ended) and got.final):
+            if isinstance(result, ev.ViewerLeft) or (isinstance(result, ev.Ended) and result.final):
                 return
             if (
                 server is not None
@@ -868,15 +989,17 @@
                 and server.setup_outcomes
                 and not server.setup_outcomes[-1][1]
             ):
-                yield from self.send_updates([server])  # others may be about to send there
-        # Given up: the answer goes out at once. Guards against viewers that come back together as they were
-        # turned away: a quarter to three quarters of the longest come-back time that they heed, by chance
-        most = allowed.max_come_back if allowed.come_back else 0
-        advice = most // 4 + self.chance.draw(most // 2)
-        yield act.BusyReply(req_id, advice) if self.may_reply_busy(sess) else act.TearDown(req_id)
+                yield from self.send_updates([server])  # other fronts may be about to send there
+        # The answer is sent at once, without waiting for the deadline. The come-back time is drawn between a
+        # quarter and three quarters of the longest that players heed, so that viewers who are refused
+        # together do not come back together
+        max_come_back = permissions.max_come_back if permissions.come_back else 0
+        come_back = max_come_back // 4 + self.chance.draw(max_come_back // 2)
+        yield act.BusyReply(req_id, come_back) if self.may_reply_busy(sess) else act.TearDown(req_id)
 
     def retry_at(self, sess: Sess) -> int:
-        """When a moved player that plays on from a deep buffer is tried again; now, where it can't wait."""
+        """When to try again to place a moved player, which can wait while it plays from its buffer; now, if
+        it can't wait or an attempt has been made."""
         means = sess.means
         if means is None or not sess.req.moved or sess.attempts:
             return self.now
@@ -884,6 +1007,7 @@
         return max(self.now, min(self.now + SECOND // 2, until))
 
     def handed_over(self, event: ev.HandedOver) -> Script:
+        """The script of a session that already played when this front started."""
         sess = self.open_session(event.request)
         if event.server in self.servers:
             self.record_setup(sess, self.servers[event.server])
@@ -892,18 +1016,21 @@
         self.close_session(sess)
 
     def setup_timeout(self, sess: Sess) -> int:
-        """A set-up timeout that leaves time for another holder before the start target, if it can.
-
-        Guards against giving up everywhere what is only slow: three times the usual is waited for."""
-        left = sess.deadline - self.now
+        """A timeout for the next SETUP that leaves time for another holder before the start target, if
+        possible. It is at least three times the usual duration of a set-up, so that servers that are merely
+        slow are not all given up."""
+        time_left = sess.deadline - self.now
         if sess.group.effect is Effect.UNSAFE or len(sess.attempts) >= self.facts.permissions.max_attempts:
-            return left
-        target = sess.deadline - sess.req.time_left + sess.group.start_target
-        usual = sorted(self.setup_lags)[len(self.setup_lags) // 2] if self.setup_lags else 0
-        return min(left, max((target - self.now) * 45 // 100, sess.group.start_target // 5, 3 * usual))
+            return time_left
+        target_at = sess.deadline - sess.req.time_left + sess.group.start_target
+        usual_lag = sorted(self.setup_lags)[len(self.setup_lags) // 2] if self.setup_lags else 0
+        return min(
+            time_left,
+            max((target_at - self.now) * 45 // 100, sess.group.start_target // 5, 3 * usual_lag),
+        )
 
     def record_setup(self, sess: Sess, server: Server) -> None:
-        """A SETUP goes out: the account, the seats, the pace and the budget know it at once."""
+        """Counts a SETUP, as it is sent, in known demand, seats, pacing and the retry budget."""
         if sess.attempts:
             since = self.now - self.facts.rules.resend_span
             self.retry_times = [*(at for at in self.retry_times if at >= since), self.now]
@@ -914,20 +1041,23 @@
         self.update_known_demand(server)
 
     def release(self, sess: Sess) -> None:
+        """Frees the session's seat and its demand on its server, if it still holds them."""
         server = self.servers.get(sess.server)
         if server is not None and server.sessions.pop(sess.req.req_id, None) is not None:
             self.seats_in_use[sess.seat_key()] -= 1
             self.update_known_demand(server)
 
     def close_session(self, sess: Sess) -> None:
-        """The viewer is answered; a SETUP still out keeps its seat and its rate until its outcome."""
+        """Ends a session whose viewer has been answered. As long as a SETUP has no result, the session keeps
+        its seat and its demand."""
         sess.viewer_done = True
-        if all(end is not None for _, _, end in sess.attempts):
+        if all(result is not None for _, _, result in sess.attempts):
             self.release(sess)
             self.sessions.pop(sess.req.req_id, None)
 
     def upkeep(self) -> Iterable[Script]:
-        wanted = [
+        """The scripts that run for as long as the front does."""
+        scripts = [
             (True, self.resize_sessions()),
             (self.facts.asked_discovery, self.watch_servers()),
             (self.probes_report_load, self.probe_servers()),
@@ -935,9 +1065,10 @@
             (self.fleet.gossip_enabled, self.fleet.gossip(self.update_known_demand_of, self.demand_messages)),
             (self.fleet.gossip_enabled, self.update_owners()),
         ]
-        return [script for want, script in wanted if want]
+        return [script for enabled, script in scripts if enabled]
 
     def resize_sessions(self) -> Script:
+        """Adjusts the rungs of all playing sessions once per period. Fronts start at different offsets."""
         yield act.Wait(self.now + SECOND + self.resize_period_us * self.facts.me // max(1, self.facts.fronts))
         while True:
             next_time = self.now + self.resize_period_us
@@ -954,101 +1085,108 @@
                 self.total_play_us, self.ended_sessions = self.total_play_us // 2, self.ended_sessions // 2
 
     def resize_server(self, server: Server) -> Script:
-        """Size a server's playing sessions within our share of its idle; only changes that pay."""
-        known = (
+        """Assigns rungs to a server's playing sessions within our share of its idle capacity, and makes those
+        changes that are needed or gain more than they cost."""
+        load_known = (
             self.all_demand_known(server)
             or self.has_recent_reply(server)
             or self.has_recent_report(server.link)
         )
-        mine = [s for s in server.sessions.values() if s.playing_since is not None] if known else []
-        own, asked = server.own_demand(), max(self.demand(server), 1.0)
-        contend = min(
-            self.facts.fronts, max(LOW_CONTENTION_FRONTS, asked / max(own, 1.0))
-        )  # fronts that raise there with us
-        room = self.idle_by_server([server], 1 / contend)[server.row.server]
-        room *= own / max(asked, own) if room < 0 else 1
-        if (
-            room > 0 and contend > LOW_CONTENTION_FRONTS
-        ):  # a part under a step would never be taken: some take a larger one
-            room *= (
-                contend / LOW_CONTENTION_FRONTS
-                if self.chance.draw(1000) * contend < LOW_CONTENTION_FRONTS * 1000
+        playing = [s for s in server.sessions.values() if s.playing_since is not None] if load_known else []
+        own, total = server.own_demand(), max(self.demand(server), 1.0)
+        # Estimated number of fronts that may raise sessions on this server at the same time
+        competing = min(self.facts.fronts, max(LOW_CONTENTION_FRONTS, total / max(own, 1.0)))
+        residual = self.idle_by_server([server], 1 / competing)[server.row.server]
+        residual *= own / max(total, own) if residual < 0 else 1
+        # With many competing fronts, each one's share would be less than a step and never be used: instead a
+        # random few of the fronts take a larger share
+        if residual > 0 and competing > LOW_CONTENTION_FRONTS:
+            residual *= (
+                competing / LOW_CONTENTION_FRONTS
+                if self.chance.draw(1000) * competing < LOW_CONTENTION_FRONTS * 1000
                 else 0
             )
-        spent = sum(s.rate(s.rung) for s in mine)
-        mine.sort(key=self.is_starving)  # of like gain they have the last step up, and the first down
-        want = zip(
-            mine, self.assign_rungs(mine, spent + room, [self.usable_rung(s) for s in mine]), strict=True
+        used = sum(s.rate(s.rung) for s in playing)
+        # Among equal gains, starving sessions are the last to be raised and the first to be lowered
+        playing.sort(key=self.is_starving)
+        wanted_rungs = zip(
+            playing,
+            self.assign_rungs(playing, used + residual, [self.usable_rung(s) for s in playing]),
+            strict=True,
         )
         for sess, rung in sorted(
-            want, key=lambda w: (w[1] > w[0].rung, self.utility_per_rate(w[0], max(w[0].rung, 1)))
+            wanted_rungs, key=lambda w: (w[1] > w[0].rung, self.utility_per_rate(w[0], max(w[0].rung, 1)))
         ):
-            need = sess.rate(rung) - sess.rate(sess.rung)
-            sure = (
-                contend <= LOW_CONTENTION_FRONTS or self.chance.draw(1000) * need > room * 2000
-            )  # many: by chance
-            idles = need < 0 and sess.rung > self.usable_rung(sess)
+            change_kb = sess.rate(rung) - sess.rate(sess.rung)
+            # With many competing fronts, each lowers its sessions only at random, lest all do so at once
+            may_lower = (
+                competing <= LOW_CONTENTION_FRONTS or self.chance.draw(1000) * change_kb > residual * 2000
+            )
+            unusable = change_kb < 0 and sess.rung > self.usable_rung(sess)
             if (
-                idles
-                or (need < 0 and room < 0 and sure)
-                or (0 < need <= room and self.net_gain(sess, rung) > 0)
+                unusable
+                or (change_kb < 0 and residual < 0 and may_lower)
+                or (0 < change_kb <= residual and self.net_gain(sess, rung) > 0)
             ):
                 sess.rung = rung
-                room -= need
+                residual -= change_kb
                 yield act.SetRung(sess.req.req_id, rung)
         self.update_known_demand(server)
 
     def net_gain(self, sess: Sess, rung: int) -> float:
-        """What a change of rung earns over the time the session is likely to have left, less its cost.
+        """Utility that a change of rung gains over the session's expected remaining time, less its cost.
 
-        That is all time played over the ends seen: those that end first, early on, are the short ones."""
+        Without a hint of the length, the expected time is the play time of all sessions divided by the number
+        of ends seen. A mean over ended sessions would be too short: short sessions end first."""
         ladder, played, hint = sess.ladder, self.now - (sess.playing_since or self.now), sess.req.length_hint
-        left = max(self.total_play_us // (self.ended_sessions + 1), self.resize_period_us)
-        left = left if hint is None else max(hint - played, 0)
-        more = ladder.utility[rung] - ladder.utility[sess.rung]
-        return sess.group.utility * (more * left / SECOND - MIN_GAIN_COST_RATIO * ladder.switch_cost_s)
+        remaining = max(self.total_play_us // (self.ended_sessions + 1), self.resize_period_us)
+        remaining = remaining if hint is None else max(hint - played, 0)
+        utility_gain = ladder.utility[rung] - ladder.utility[sess.rung]
+        return sess.group.utility * (
+            utility_gain * remaining / SECOND - MIN_GAIN_COST_RATIO * ladder.switch_cost_s
+        )
 
     def inquire(self, sess: Sess) -> Script:
-        """Guards against placing blind, where the account is not whole: asks keepers, else probes two.
+        """Before a placement, asks the owners of the title's groups for the best holders. If no eligible
+        holder's demand is known after that, as owners are gone or messages were lost, two holders are probed.
 
-        It covers keepers that are gone, and messages that are lost. It may harm where answers are slow."""
+        Where replies are slow, this delays the placement by up to the reply timeout."""
         req, until = sess.req, min(self.now + REPLY_TIMEOUT_US, sess.deadline)
         groups = self.groups_holding(req.home, req.span)
-        question = functools.partial(words.HoldersQuery, home=req.home, span=req.span, zone=self.facts.zone)
+        make_query = functools.partial(words.HoldersQuery, home=req.home, span=req.span, zone=self.facts.zone)
         yield from self.fleet.query(
-            self.fleet.sample_groups(groups, GROUPS_QUERIED, self.chance), question, until
+            self.fleet.sample_groups(groups, GROUPS_QUERIED, self.chance), make_query, until
         )
-        open_now = [s for s in self.eligible_holders(sess) if self.setup_backoff_until(s) <= self.now]
+        eligible = [s for s in self.eligible_holders(sess) if self.setup_backoff_until(s) <= self.now]
         if not self.probes_report_load or any(
-            self.all_demand_known(s) or self.has_recent_reply(s) for s in open_now
+            self.all_demand_known(s) or self.has_recent_reply(s) for s in eligible
         ):
             return
-        near = [s for s in open_now if s.row.zone == self.facts.zone] or open_now
-        first = self.chance.draw(max(len(near), 1))
-        two = (near[first:] + near[:first])[:2]
-        for server in two:
-            if (
-                server.arrival_probe_at <= self.now - REPORT_AGE_US
-            ):  # guards against a burst that asks the same twice
+        preferred = [s for s in eligible if s.row.zone == self.facts.zone] or eligible
+        first = self.chance.draw(max(len(preferred), 1))
+        probed = (preferred[first:] + preferred[:first])[:2]
+        for server in probed:
+            # In a burst of arrivals, a probe that was sent for another one is used instead
+            if server.arrival_probe_at <= self.now - REPORT_AGE_US:
                 server.arrival_probe_at = self.now
                 yield act.Probe(server.row.server)
         yield act.Wait(
-            min(until, max((s.arrival_probe_at + REPLY_TIMEOUT_US for s in two), default=self.now))
+            min(until, max((s.arrival_probe_at + REPLY_TIMEOUT_US for s in probed), default=self.now))
         )
 
     def groups_holding(self, home: int, span: int) -> list[int]:
-        """The groups whose racks hold a title, its home's first."""
-        cells, racks, at = self.facts.plant.cells, len(self.uplinks), 0
-        found = dict[int, None]()
-        while at < min(span, cells):
-            cell = (home + at) % cells
+        """The groups whose racks hold a title, that of its home first."""
+        cells, racks, offset = self.facts.plant.cells, len(self.uplinks), 0
+        groups = dict[int, None]()
+        while offset < min(span, cells):
+            cell = (home + offset) % cells
             group = self.group_by_rack[cell % racks]
-            found[group] = None
-            at += min(self.last_rack_of_group[group] - cell % racks, cells - 1 - cell) + 1
-        return list(found)
+            groups[group] = None
+            offset += min(self.last_rack_of_group[group] - cell % racks, cells - 1 - cell) + 1
+        return list(groups)
 
     def known_holders(self, home: int, span: int) -> list[Server]:
-        """The holders of a title of which we know what all ask."""
+        """The holders of a title on which all demand is known."""
         if self.table.holder_count(home, span) > MAX_COMPARED:
             return [s for s in self.candidate_holders(home, span) if self.all_demand_known(s)]
         holds, racks = self.facts.plant.holds, self.facts.plant.racks_of(home, span)
@@ -1060,86 +1198,100 @@
         ]
 
     def answer_queries(self) -> Script:
-        """A keeper's answers: the best holders, the asker's zone first, and the best cold ones."""
+        """Replies, as an owner, to queries of other fronts: with the status of the servers that the asker
+        uses, or of a title's eight best holders, those of the asker's zone preferred, and two cold ones."""
         while True:
-            got = yield act.WaitForPeerMessage(None)
-            word = (
+            event = yield act.WaitForPeerMessage(None)
+            query = (
                 self.last_message[1]
-                if isinstance(got, ev.PeerMessage) and self.last_message[0] is got.payload
+                if isinstance(event, ev.PeerMessage) and self.last_message[0] is event.payload
                 else None
             )
-            match got, word:
+            match event, query:
                 case ev.PeerMessage(), words.InUseQuery(number):
-                    theirs = self.fleet.counts.amounts_of(got.peer)
-                    about = [
+                    used_by_asker = self.fleet.counts.amounts_of(event.peer)
+                    servers = [
                         s
-                        for at in theirs
-                        if (s := self.servers.get(at))
+                        for server_number in used_by_asker
+                        if (s := self.servers.get(server_number))
                         and self.all_demand_known(s)
                         and s.row.state is not ServerState.GONE
                     ]
-                    idle, granted = self.idle_by_server(about, 1.0), None
+                    idle, granted = self.idle_by_server(servers, 1.0), None
                 case ev.PeerMessage(), words.HoldersQuery(number, home, span, zone):
-                    about = self.known_holders(home, span)
-                    idle = self.idle_by_server(about, 1.0)
-                    about.sort(
+                    servers = self.known_holders(home, span)
+                    idle = self.idle_by_server(servers, 1.0)
+                    servers.sort(
                         key=lambda s: -idle[s.row.server]
                         * (1.0 if s.row.zone == zone else PREFERRED_IDLE_RATIO)
                     )
-                    cold = list(filter(self.is_cold, about))
-                    about = [s for s in about if s not in cold][:8] + cold[:2]
-                    granted = next((s for s in about if self.may_grant(s, got.peer)), None)
+                    cold = list(filter(self.is_cold, servers))
+                    servers = [s for s in servers if s not in cold][:8] + cold[:2]
+                    granted = next((s for s in servers if self.may_grant(s, event.peer)), None)
                 case _:
                     continue
             if not any(self.fleet.is_synced(group) for group in self.fleet.groups):
-                continue  # we know no better than who asks
-            rooms = [
+                continue  # we know no more than the asker
+            statuses = [
                 self.fleet.status_for(
-                    got.peer, s.row.server, idle[s.row.server], self.demand(s), self.is_warm(s), s is granted
+                    event.peer,
+                    s.row.server,
+                    idle[s.row.server],
+                    self.demand(s),
+                    self.is_warm(s),
+                    s is granted,
                 )
-                for s in about
+                for s in servers
             ]
-            yield from self.fleet.reply(got.peer, number, rooms, isinstance(word, words.InUseQuery))
+            yield from self.fleet.reply(event.peer, number, statuses, isinstance(query, words.InUseQuery))
 
     def may_grant(self, server: Server, peer: int) -> bool:
-        """One send to what may be cold, out of the parts lent to us; or a try, for all, of what is avoided.
-
-        Guards against hundreds of fronts that each keep a part they can't use, or each try a bad server."""
-        view = self.fleet.evidence.summary(self.now, server.row.server, peer)
-        if view.is_bad(MIN_WITNESSES):
-            first = self.facts.me in self.fleet.owners(self.group_of(server))[:2] and not self.is_cold(server)
-            rested = (
-                first and max(view.failed_at, server.trial_granted_at) <= self.now - FIRST_SETUP_BACKOFF_US
+        """Whether to grant a front one SETUP to a server that is cold, out of the shares lent to us, or one
+        trial on behalf of the fleet to a server that is avoided.
+
+        Without grants, hundreds of fronts would each hold a share of a cold server that is too small to use,
+        and would each try a bad server by themselves."""
+        evidence = self.fleet.evidence.summary(self.now, server.row.server, peer)
+        if evidence.is_bad(MIN_WITNESSES):
+            may_try = self.facts.me in self.fleet.owners(self.group_of(server))[:2] and not self.is_cold(
+                server
+            )
+            backoff_over = (
+                may_try
+                and max(evidence.failed_at, server.trial_granted_at) <= self.now - FIRST_SETUP_BACKOFF_US
             )
-            server.trial_granted_at = self.now if rested else server.trial_granted_at
-            return rested
-        slot, budget = self.cold_slot_us(server), server.row.server
+            server.trial_granted_at = self.now if backoff_over else server.trial_granted_at
+            return backoff_over
+        slot_us, budget = self.cold_slot_us(server), server.row.server
         return self.is_cold(server) and self.fleet.shares.grant(
-            self.now, self.group_of(server), budget, slot, self.cold_burst(slot)
+            self.now, self.group_of(server), budget, slot_us, self.cold_burst(slot_us)
         )
 
     def probe_servers(self) -> Script:
-        """Probe in turn, as often as the price allows; messages share the work among fronts."""
+        """Probes the servers in turn, as often as the price of a probe allows. With gossip, the fronts share
+        the work."""
         for turn in itertools.count(1):
             ready = self.table.ready
-            if (
-                self.fleet.gossip_enabled
-            ):  # all are told what each hears: where we play the connection is there
+            # With gossip, fronts share their reports: each probes where its sessions keep a connection open
+            if self.fleet.gossip_enabled:
                 ready = [s for s in self.table.in_use() if s.row.state is ServerState.READY] or ready
             if ready and not self.fleet.most_owners_silent():
                 first = len(ready) * self.facts.me // self.facts.fronts
                 yield act.Probe(ready[(first + turn) % len(ready)].row.server)
-            worth = PROBE_BUDGET_POINTS / max(self.facts.prices.probe, PROBE_BUDGET_POINTS / 4)
-            # Guards against a wait reckoned before anybody came: it is reckoned anew each second
-            probed = self.now
+            probes_per_arrival = PROBE_BUDGET_POINTS / max(self.facts.prices.probe, PROBE_BUDGET_POINTS / 4)
+            # Recomputed each second: a wait computed before the first arrivals would be far too long
+            probed_at = self.now
             while (
-                due := probed
-                + max(SECOND // 10, int(SECOND / (self.arrivals.rate_per_s(self.now, 30 * SECOND) * worth)))
+                due := probed_at
+                + max(
+                    SECOND // 10,
+                    int(SECOND / (self.arrivals.rate_per_s(self.now, 30 * SECOND) * probes_per_arrival)),
+                )
             ) > self.now:
                 yield act.Wait(min(due, self.now + SECOND))
 
     def send_updates(self, servers: list[Server]) -> Script:
-        """Our rates at these, and what came to us of them since, to the keepers of each."""
+        """Sends our demand on these servers, and what we learned of them, to the owners of their groups."""
         rates = [
             (
                 self.group_of(s),
@@ -1154,15 +1306,18 @@
         ]
         yield from self.fleet.send_changes(rates)
 
-    def demand_messages(self, keeper: int) -> list[words.ServerRate]:
+    def demand_messages(self, owner: int) -> list[words.ServerRate]:
+        """Our demand on all servers of the groups that a front owns."""
         return [
             words.ServerRate(s.row.server, s.own_demand(), warm=self.has_warming_session(s))
             for s in self.table.in_use()
-            if keeper in self.fleet.other_owners(self.group_of(s))
+            if owner in self.fleet.other_owners(self.group_of(s))
         ]
 
     def update_owners(self) -> Script:
-        yield act.Wait(self.now + SECOND // 10)  # the sessions handed over are in by then
+        """Sends the owners what has changed, once per gossip period, and lends them our shares of the servers
+        that are cold."""
+        yield act.Wait(self.now + SECOND // 10)  # by then the sessions handed over have been recorded
         for turn in itertools.count():
             yield from self.fleet.refresh(turn, FULL_SYNC_ROUNDS, self.demand_messages)
             yield from self.send_updates(
@@ -1181,6 +1336,7 @@
             yield act.Wait(self.now + self.gossip_period_us)
 
     def watch_servers(self) -> Script:
+        """Keeps a subscription to discovery and renews it, after a jittered delay, when it fails."""
         while True:
             yield act.Watch(True)
             self.watching = True
