--- a/ponddoor/decide.py
+++ b/ponddoor/decide.py
@@ -484,7 +484,7 @@
 
         Without a recent report, a server is assumed to be as loaded as the mean of those with one, and less
         if it started recently. Otherwise no session would go to a server with an old high report, and none
-        would bring a new one. The assumption is wrong where the servers without reports are the loaded ones."""
+        would bring a new one. This is wrong where the servers without reports are the loaded ones."""
         if self.has_recent_reply(server):
             return server.last_reply[2] + server.own_demand()
         known = server.link.known_demand[-1][1]
