--- a/ponddoor/decide.py
+++ b/ponddoor/decide.py
@@ -474,7 +474,7 @@
             load = self.table.mean_reported_load(self.now - 2 * REPORT_MISSING_US)
             if load is None:
                 fleet_demand = sum(s.own_demand() for s in self.table.in_use()) * self.facts.fronts
-                load = fleet_demand / max(self.table.total_kb, 1.0)
+                load = fleet_demand / max(self.table.total_capacity_kb, 1.0)
             self.mean_load_at, self.mean_load = self.now, load
         return self.mean_load
 
--- a/ponddoor/fleet/evidence.py
+++ b/ponddoor/fleet/evidence.py
@@ -8,7 +8,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from ponddoor.interface.chance import LONG_AGO
+from ponddoor.interface.seeded_random import LONG_AGO
 
 MAX_SERVERS = 4096  # with evidence held
 MAX_TRIES = 15  # successes or failures that one report can hold
--- a/ponddoor/fleet/presence.py
+++ b/ponddoor/fleet/presence.py
@@ -17,7 +17,7 @@
 from enum import Enum
 
 from ponddoor.interface import words
-from ponddoor.interface.chance import LONG_AGO, SeededRandom
+from ponddoor.interface.seeded_random import LONG_AGO, SeededRandom
 
 DAY_TENTHS_S = 864_000  # a day in the unit of incarnations, tenths of a second
 PING_REQUEST_FANOUT = 3  # fronts that are asked to ping one that did not answer
--- a/ponddoor/fleet/shown.py
+++ b/ponddoor/fleet/shown.py
@@ -3,7 +3,7 @@
 from typing import Any
 
 from ponddoor.fleet.view import Fleet
-from ponddoor.interface.chance import LONG_AGO
+from ponddoor.interface.seeded_random import LONG_AGO
 
 
 def shown(fleet: Fleet, servers: list[int]) -> dict[str, Any]:
--- a/ponddoor/fleet/view.py
+++ b/ponddoor/fleet/view.py
@@ -20,9 +20,9 @@
 from ponddoor.fleet.shares import Shares
 from ponddoor.interface import actions as act
 from ponddoor.interface import words
-from ponddoor.interface.chance import SeededRandom
 from ponddoor.interface.facts import SiteFacts
 from ponddoor.interface.script import Script
+from ponddoor.interface.seeded_random import SeededRandom
 
 INCARNATION_EPOCH_US = 1_767_225_600_000_000  # 2026-01-01, incarnation 0
 MAX_RANKED = 8  # fronts ranked for a group
--- a/ponddoor/front/follower.py
+++ b/ponddoor/front/follower.py
@@ -30,7 +30,7 @@
 )
 from ponddoor.config.rollout import Report
 from ponddoor.front.reconnect import LEAST, Loss, ReconnectSchedule
-from ponddoor.interface.chance import SeededRandom
+from ponddoor.interface.seeded_random import SeededRandom
 from ponddoor.settings.sexpr import MOST_BYTES, Listing, SettingsError, parse
 from ponddoor.settings.site import Site, check
 
--- a/ponddoor/server_table.py
+++ b/ponddoor/server_table.py
@@ -43,9 +43,9 @@
         self._possibly_cold: dict[int, Server] = {}
         self._gone_numbers: dict[int, None] = {}  # oldest first
         self._next_order = 0
-        self._total_kb_fixed = 0
-        self._last_reports: dict[int, tuple[int, float]] = {}  # server: (taken at, load ratio)
-        self._reports_by_time: list[tuple[int, int]] = []  # a heap of (taken at, server)
+        self._total_capacity_fixed = 0
+        self._last_reports: dict[int, tuple[int, float]] = {}  # server: (measured at, load ratio)
+        self._reports_by_time: list[tuple[int, int]] = []  # a heap of (measured at, server)
         self._ratio_sum_fixed = 0
 
     # Rows of the list
@@ -68,9 +68,9 @@
             server.row = row
             self._add_to_indices(server)
         server.row = row
-        link_kb = row.weight * self.plant.kb_per_weight
-        self._total_kb_fixed += _to_fixed_point(link_kb) - _to_fixed_point(server.link.capacity_kb)
-        server.link.capacity_kb = link_kb
+        capacity_kb = row.weight * self.plant.kb_per_weight
+        self._total_capacity_fixed += _to_fixed_point(capacity_kb) - _to_fixed_point(server.link.capacity_kb)
+        server.link.capacity_kb = capacity_kb
         if row.started_at:
             self.mark_possibly_cold(server)
         if row.state is ServerState.GONE:
@@ -113,7 +113,7 @@
     def _forget(self, number: int) -> None:
         del self._gone_numbers[number]
         server = self.by_number.pop(number)
-        self._total_kb_fixed -= _to_fixed_point(server.link.capacity_kb)
+        self._total_capacity_fixed -= _to_fixed_point(server.link.capacity_kb)
         self.unsent.pop(number, None)
         self._possibly_cold.pop(number, None)
         self._drop_report(number)
@@ -190,18 +190,18 @@
     # Sums
 
     @property
-    def total_kb(self) -> float:
+    def total_capacity_kb(self) -> float:
         """The capacity of all links together, in kB a second."""
-        return self._total_kb_fixed / FIXED_POINT_SCALE
+        return self._total_capacity_fixed / FIXED_POINT_SCALE
 
     def reports_changed(self, server: Server) -> None:
         """To be called when the load reports of a server's link have changed."""
         number = server.row.server
         self._drop_report(number)
         if server.link.reports:
-            taken_at, ratio = self._last_reports[number] = server.link.reports[-1]
+            measured_at, ratio = self._last_reports[number] = server.link.reports[-1]
             self._ratio_sum_fixed += _to_fixed_point(ratio)
-            heapq.heappush(self._reports_by_time, (taken_at, number))
+            heapq.heappush(self._reports_by_time, (measured_at, number))
             if len(self._reports_by_time) > 2 * len(self._last_reports) + REPORT_HEAP_SLACK:
                 self._reports_by_time = [
                     (time, server_id) for server_id, (time, _) in self._last_reports.items()
@@ -209,12 +209,12 @@
                 heapq.heapify(self._reports_by_time)
 
     def mean_reported_load(self, since: int) -> float | None:
-        """The mean load ratio of the servers' last reports that were taken after `since`; None without any.
+        """The mean load ratio of the servers' last reports that were measured after `since`; None without any.
 
         Older reports are dropped for good."""
         while self._reports_by_time and self._reports_by_time[0][0] <= since:
-            taken_at, number = heapq.heappop(self._reports_by_time)
-            if self._last_reports.get(number, (None, 0.0))[0] == taken_at:
+            measured_at, number = heapq.heappop(self._reports_by_time)
+            if self._last_reports.get(number, (None, 0.0))[0] == measured_at:
                 self._drop_report(number)
         return (
             self._ratio_sum_fixed / FIXED_POINT_SCALE / len(self._last_reports)
--- a/ponddoor/state.py
+++ b/ponddoor/state.py
@@ -9,8 +9,8 @@
 from ponddoor.fleet.evidence import Observation
 from ponddoor.interface import events as ev
 from ponddoor.interface import words
-from ponddoor.interface.chance import LONG_AGO, SeededRandom
 from ponddoor.interface.facts import Ladder, ServiceGroup
+from ponddoor.interface.seeded_random import LONG_AGO, SeededRandom
 
 __all__ = ["LONG_AGO", "SeededRandom", "LinkState", "Server", "Sess"]
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -115,9 +115,9 @@
         """Run all steps of a scenario. Raises AssertionError with the line whose expectation fails."""
         for number, line in enumerate(text.splitlines(), 1):
             for step in line.split("#")[0].split(";"):
-                words = step.split() or ["given", "site"]
+                tokens = step.split() or ["given", "site"]
                 try:
-                    getattr(self, words[0])(*words[1:])
+                    getattr(self, tokens[0])(*tokens[1:])
                 except AssertionError as problem:
                     raise AssertionError(f"line {number}: {line}: {problem}") from None
 
@@ -131,20 +131,20 @@
                 part_options = {k: v for k, v in options.items() if k in part.__dataclass_fields__}
                 self.site = replace(self.site, **{site_field.name: replace(part, **part_options)})
 
-    def given(self, kind: str, *words: str) -> None:
+    def given(self, kind: str, *tokens: str) -> None:
         """`given site FIELD=VALUE ...`, `given group|tenant FIELD=VALUE ...`, `given server NUMBER
         FIELD=VALUE ...`, `given silent FRONT ...`."""
-        options = {key: parse_value(value) for key, value in (w.split("=") for w in words if "=" in w)}
+        options = {key: parse_value(value) for key, value in (t.split("=") for t in tokens if "=" in t)}
         if kind == "group":
             self.groups.append(replace(GROUP, **options))
         elif kind == "silent":
-            self.silent |= set(map(int, words))
+            self.silent |= set(map(int, tokens))
         elif kind == "tenant":
             self.site = replace(self.site, tenants=(*self.site.tenants, fx.Tenant("t", share=1.0, **options)))
         elif kind == "server":
             row = {"zone": 0, "kind": 0, "cell": 0, "state": 2, "weight": 1000.0, "started_at": 0} | options
             state = ev.ServerState(row.pop("state"))
-            self.rows[words[0]] = ev.ServerRow(server=int(words[0]), state=state, **row)
+            self.rows[tokens[0]] = ev.ServerRow(server=int(tokens[0]), state=state, **row)
         else:
             self.replace_site_fields(options)
 
@@ -205,11 +205,11 @@
             case _:
                 self.seen.append(f"message {action.peer} {type(message).__name__}")
 
-    def at(self, time: str, kind: str = "", *words: str) -> None:
+    def at(self, time: str, kind: str = "", *tokens: str) -> None:
         """Let time pass and timers expire, then pass one event to the front. Clears `seen` first, unless a
         `+` stands before the time."""
-        until, arguments = parse_value(time.lstrip("+")), [w for w in words if "=" not in w]
-        options = {key: parse_value(value) for key, value in (w.split("=") for w in words if "=" in w)}
+        until, arguments = parse_value(time.lstrip("+")), [t for t in tokens if "=" not in t]
+        options = {key: parse_value(value) for key, value in (t.split("=") for t in tokens if "=" in t)}
         self.seen = self.seen if time.startswith("+") else []
         while timer := min((t for t in self.timers if t[0] <= until), default=None):
             self.timers.remove(timer)
@@ -312,12 +312,12 @@
         result = ev.Result(kind.replace("_", " "))
         return ev.Ended(req_id, attempt, server, result, "final" in arguments, 1000, options)
 
-    def expect(self, *words: str) -> None:
+    def expect(self, *tokens: str) -> None:
         """Check how many lines of `seen` begin with the words X: `expect X` one at least, `expect no X` none,
         `expect just N X` exactly N."""
-        wanted = " ".join(words[{"no": 1, "just": 2}.get(words[0], 0) :])
+        wanted = " ".join(tokens[{"no": 1, "just": 2}.get(tokens[0], 0) :])
         matches = [line for line in self.seen if f"{line} ".startswith(f"{wanted} ")]
-        met = len(matches) == int(words[1]) if words[0] == "just" else bool(matches) != (words[0] == "no")
+        met = len(matches) == int(tokens[1]) if tokens[0] == "just" else bool(matches) != (tokens[0] == "no")
         assert met, self.seen
 
 
--- a/tests/many_servers/test_server_table.py
+++ b/tests/many_servers/test_server_table.py
@@ -97,7 +97,7 @@
         loads = [s.link.reports[-1][1] for s in servers if s.link.reports and s.link.reports[-1][0] > since]
         mean = self.table.mean_reported_load(since)
         assert mean is None if not loads else mean == pytest.approx(sum(loads) / len(loads))
-        assert self.table.total_kb == pytest.approx(sum(s.link.capacity_kb for s in servers))
+        assert self.table.total_capacity_kb == pytest.approx(sum(s.link.capacity_kb for s in servers))
         cold = {s.row.server for s in self.table.cold_servers(self.now, COLD_US)}
         restarted = {
             s.row.server for s in servers if s.row.started_at and self.now - s.process_started_at() < COLD_US
