--- a/ponddoor/server_table.py
+++ b/ponddoor/server_table.py
@@ -209,7 +209,7 @@
                 heapq.heapify(self._reports_by_time)
 
     def mean_reported_load(self, since: int) -> float | None:
-        """The mean load ratio of the servers' last reports that were measured after `since`; None without any.
+        """The mean load ratio of the servers' last reports, if measured after `since`; None without any.
 
         Older reports are dropped for good."""
         while self._reports_by_time and self._reports_by_time[0][0] <= since:
