--- a/ponddoor/front/acting.py
+++ b/ponddoor/front/acting.py
@@ -10,12 +10,12 @@
 from ponddoor.fleet.presence import Connectivity, Presence
 from ponddoor.interface.events import ServerState
 
-MOST_LINES = 50  # of one look
+MAX_LOG_LINES = 50  # of one look
 log = structlog.get_logger("mechanisms")
 
 
 @contextlib.contextmanager
-def looking(front: Front, now: int) -> Iterator[None]:
+def unchanged_decisions(front: Front, now: int) -> Iterator[None]:
     """Guards against a look that changes what is decided: what reading moves is put back behind it."""
     fleet = front.fleet
     kept = front.now, dict(fleet.synced_since), dict(fleet.synced_cache), front.mean_load_at, front.mean_load
@@ -27,10 +27,10 @@
         front.clock(now)
 
 
-def account(front: Front, now: int) -> list[tuple[str, int, int, int, int, float]]:
+def server_account(front: Front, now: int) -> list[tuple[str, int, int, int, int, float]]:
     """What a front believes of each server that has not gone: its id, sessions held there, kB a second that
     these ask, that all ask and that are idle, and for how many seconds it rests."""
-    with looking(front, now):
+    with unchanged_decisions(front, now):
         rows = [s for s in front.servers.values() if s.row.state is not ServerState.GONE]
         idle = front.idle_by_server(rows, 1.0)
         return [
@@ -47,7 +47,7 @@
 
 
 @dataclass(slots=True)
-class Standings:
+class DeadFronts:
     """Whom a front took for dead when last looked, to tell from outside when that changes."""
 
     version: int = -1
@@ -62,20 +62,20 @@
 
 
 @dataclass(slots=True)
-class Acting:
+class ActiveMechanisms:
     """What acted when last looked: words such as `rest 17`."""
 
     now_acting: set[str] = field(default_factory=set)
 
     def look(self, front: Front, now: int) -> None:
-        with looking(front, now):
+        with unchanged_decisions(front, now):
             acting = self._acting(front, now)
         said = [("acts", word) for word in sorted(acting - self.now_acting)]
         said += [("stops", word) for word in sorted(self.now_acting - acting)]
-        for event, word in said[:MOST_LINES]:
+        for event, word in said[:MAX_LOG_LINES]:
             self._say(front, now, event, word)
-        if len(said) > MOST_LINES:
-            log.info("mechanisms-more", count=len(said) - MOST_LINES)
+        if len(said) > MAX_LOG_LINES:
+            log.info("mechanisms-more", count=len(said) - MAX_LOG_LINES)
         self.now_acting = acting
 
     def _acting(self, front: Front, now: int) -> set[str]:
--- a/ponddoor/front/backoff.py
+++ b/ponddoor/front/backoff.py
@@ -6,9 +6,11 @@
 from dataclasses import dataclass
 from random import Random
 
-FIRST_WAIT = 1_000_000
-SPOILT_WAIT = 250_000  # after a line that can't be read, which a server that is well may say now and then
-LONGEST_WAIT = 2_000_000
+FIRST_WAIT_US = 1_000_000
+UNREADABLE_LINE_WAIT_US = (
+    250_000  # after a line that can't be read, which a server that is well may say now and then
+)
+MAX_WAIT_US = 2_000_000
 
 
 @dataclass(slots=True)
@@ -20,15 +22,15 @@
     not_before: int = 0
     waits_since: int = 0
 
-    def failed(self, now: int, first_wait: int = FIRST_WAIT) -> None:
+    def failed(self, now: int, first_wait: int = FIRST_WAIT_US) -> None:
         """A connection did not come up, or ended before it was of any use. `first_wait` is that after the
         second failure in a row."""
         self.failures, self.waits_since = self.failures + 1, now
         if self.failures > 1:
-            wait = min(first_wait << min(self.failures - 2, 8), LONGEST_WAIT)
+            wait = min(first_wait << min(self.failures - 2, 8), MAX_WAIT_US)
             self.not_before = now + wait + self.random.randrange(wait // 2)
 
-    def hold(self, now: int, wait: int) -> None:
+    def delay(self, now: int, wait: int) -> None:
         """The next try waits so long; nothing has failed."""
         self.not_before, self.waits_since = max(self.not_before, now + wait), now
 
@@ -36,6 +38,6 @@
         """A connection was of use."""
         self.failures, self.not_before = 0, 0
 
-    def wait(self, now: int, most: int = LONGEST_WAIT + LONGEST_WAIT // 2) -> int:
+    def wait(self, now: int, most: int = MAX_WAIT_US + MAX_WAIT_US // 2) -> int:
         """How long from now the next try has to wait: no longer than `most` from when it began to."""
         return max(min(self.not_before, self.waits_since + most) - now, 0)
--- a/ponddoor/front/effects.py
+++ b/ponddoor/front/effects.py
@@ -4,7 +4,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ask:
+class ViewerRequest:
     """A viewer's request for a session, checked against the site. Two are equal where the viewer said the
     same, whatever the site said of it meanwhile."""
 
@@ -38,12 +38,12 @@
 
 @dataclass(frozen=True, slots=True)
 class SendSetup:
-    """Ask a server to start a session; the answer goes to `Engine.setup_answered`."""
+    """ViewerRequest a server to start a session; the answer goes to `Engine.setup_answered`."""
 
     sess: str
     attempt: int
     server: int
-    ask: Ask
+    request: ViewerRequest
     rung: int
     timeout: int
 
@@ -69,7 +69,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendProbe:
-    """Ask a server for its load; the answer goes to `Engine.probed`."""
+    """ViewerRequest a server for its load; the answer goes to `Engine.probe_answered`."""
 
     server: int
 
@@ -82,7 +82,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SendWord:
+class SendGossip:
     """Send bytes to one other front, or to all."""
 
     peer: int | None
@@ -98,7 +98,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FetchList:
-    """Ask once for the whole list."""
+    """ViewerRequest once for the whole list."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -119,7 +119,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Say:
+class WriteLog:
     """A line for the log."""
 
     level: str
@@ -134,10 +134,10 @@
     | SendRung
     | SendProbe
     | CloseIdle
-    | SendWord
+    | SendGossip
     | WatchList
     | FetchList
     | Reply
     | Push
-    | Say
+    | WriteLog
 )
--- a/ponddoor/front/follower.py
+++ b/ponddoor/front/follower.py
@@ -29,7 +29,7 @@
     taken_apart,
 )
 from ponddoor.config.rollout import Report
-from ponddoor.front.reconnect import LEAST, Loss, ReconnectSchedule
+from ponddoor.front.reconnect import MIN_RETRY_INTERVAL_US, Loss, ReconnectSchedule
 from ponddoor.interface.chance import SeededRandom
 from ponddoor.settings.sexpr import MOST_BYTES, Listing, SettingsError, parse
 from ponddoor.settings.site import Site, check
@@ -665,13 +665,13 @@
         if self.home is not None and self.at != self.home:
             # Where all are apart one stays: it is looked elsewhere for no longer than one try takes
             self.at = self.home
-            self.next_try = now + LEAST + self._chance.draw(HOP)
+            self.next_try = now + MIN_RETRY_INTERVAL_US + self._chance.draw(HOP)
             return []
         self.home = None
         self._choose()
         if self.schedule.out_since is not None and self.hops < self._most_hops(how):
             self.hops += 1
-            self.next_try = now + stay_away + LEAST + self._chance.draw(HOP)
+            self.next_try = now + stay_away + MIN_RETRY_INTERVAL_US + self._chance.draw(HOP)
             return []
         self.hops = 0
         self.next_try = self.schedule.lost(now, how, gone, stay_away)
--- a/ponddoor/front/following.py
+++ b/ponddoor/front/following.py
@@ -31,7 +31,7 @@
 )
 from ponddoor.front.pump import SECOND, clock
 from ponddoor.front.reconnect import Loss
-from ponddoor.front.words import wall
+from ponddoor.front.words import wall_clock_us
 from ponddoor.settings.sexpr import MOST_BYTES
 from ponddoor.settings.site import Address
 from ponddoor.web.client import (
@@ -87,7 +87,7 @@
                 pass
             except OSError as problem:
                 log.error("config-kept-unreadable", why=str(problem))
-        pending, effects = list[Effect](), self.follower.begin(clock(), wall(), data)
+        pending, effects = list[Effect](), self.follower.begin(clock(), wall_clock_us(), data)
         while effects:
             effect = effects.pop(0)
             if isinstance(effect, Keep):
--- a/ponddoor/front/hinting.py
+++ b/ponddoor/front/hinting.py
@@ -4,8 +4,8 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from ponddoor.front.effects import Ask, Effect
-from ponddoor.front.engine import Engine, Held, Phase
+from ponddoor.front.effects import Effect, ViewerRequest
+from ponddoor.front.engine import Engine, Phase, SessionRecord
 from ponddoor.hints import cmcd, cmsd
 from ponddoor.hints.fields import Read, Values
 from ponddoor.hints.intake import KB_PER_KBIT, Intake
@@ -30,7 +30,7 @@
 
     # From players
 
-    def on_request(self, request: Request, body: dict[str, Any] | None, ask: Ask) -> Means | None:
+    def on_request(self, request: Request, body: dict[str, Any] | None, ask: ViewerRequest) -> Means | None:
         """The hints on a request for a session."""
         read = self._read(request, body)
         if not read.values:
@@ -68,9 +68,9 @@
         if held is None or held.phase is not Phase.PLAYING:
             self.intake.over(sess)
         else:
-            self.intake.playing(now, sess, *self._source(held.ask), held.server, held.rate_kb)
+            self.intake.playing(now, sess, *self._source(held.request), held.server, held.rate_kb)
 
-    def _source(self, ask: Ask) -> tuple[str, str]:
+    def _source(self, ask: ViewerRequest) -> tuple[str, str]:
         """The viewer and the tenant by which a session's hints are judged, empty where none is named."""
         tenants = self.site.facts.tenants
         return str(ask.viewer) if ask.viewer else "", tenants[ask.tenant].name if tenants else ""
@@ -129,7 +129,7 @@
 
     # To players
 
-    def dynamic(self, held: Held) -> str:
+    def dynamic(self, held: SessionRecord) -> str:
         """CMSD-Dynamic for a session that plays: its rung in force is the most it should ask for."""
         said = self.servers.get(held.server)
         values: Values = {"mb": round(held.rate_kb / KB_PER_KBIT)}
--- a/ponddoor/front/limits.py
+++ b/ponddoor/front/limits.py
@@ -4,12 +4,12 @@
 
 from ponddoor.settings.limits import Limits
 
-SAMPLE = 50_000  # the loop is sampled so often, in microseconds
+SAMPLE_PERIOD_US = 50_000  # the loop is sampled so often, in microseconds
 
 
 @dataclass(slots=True)
 class LagMeter:
-    """How late the event loop runs, from ticks that should come every SAMPLE microseconds.
+    """How late the event loop runs, from ticks that should come every SAMPLE_PERIOD_US microseconds.
 
     A tick that is overdue counts before it comes, so that work that piled up behind a blocked loop is seen as
     late by whichever runs first. A late tick counts until the next one in time."""
@@ -20,7 +20,7 @@
     def tick(self, now: int) -> int:
         """A tick came; returns how late it was."""
         self.last = max(0, now - self.due)
-        self.due = now + SAMPLE
+        self.due = now + SAMPLE_PERIOD_US
         return self.last
 
     def lag(self, now: int) -> int:
@@ -28,7 +28,7 @@
 
 
 @dataclass(slots=True)
-class Gate:
+class AdmissionGate:
     """Whether a front takes one more request; a refusal is the name of the limit that is reached."""
 
     limits: Limits
--- a/ponddoor/front/listing.py
+++ b/ponddoor/front/listing.py
@@ -14,7 +14,7 @@
 from ponddoor.front.pump import SECOND, Apply, clock
 from ponddoor.front.reconnect import Loss, ReconnectSchedule
 from ponddoor.front.roster import GapError, Kept, ListChange, ListMessage, Roster, decode
-from ponddoor.front.words import wall
+from ponddoor.front.words import wall_clock_us
 from ponddoor.interface import events as ev
 from ponddoor.settings.site import Site
 from ponddoor.web.client import BrokenError, LateError, NotSentError, Pool, TurnedAwayError
@@ -24,15 +24,15 @@
 
 
 @dataclass(slots=True)
-class ListKeeper:
-    """Feeds one front's engine with the list. `learned` is told each change."""
+class ListClient:
+    """Feeds one front's engine with the list. `on_change` is told each change."""
 
     site: Site
     me: int
     roster: Roster
     engine: Engine
     apply: Apply
-    learned: Callable[[ListChange], None]
+    on_change: Callable[[ListChange], None]
     kept: Path | None
     schedule: ReconnectSchedule
     reachable: bool = False
@@ -47,13 +47,13 @@
         data = self.kept.read_bytes() if self.kept is not None and self.kept.exists() else b""
         found, written = self.roster.restore(data)
         if found is Kept.WHOLE:
-            age = max(wall() - written, 0) // SECOND if written else None
+            age = max(wall_clock_us() - written, 0) // SECOND if written else None
             log.info("list-at-hand", servers=len(self.roster.entries), age_s=age, version=self.roster.version)
         elif found is not Kept.NONE:
             log.warning("kept-list-not-taken", why=found.value, file=str(self.kept))
         found_list = self.roster.all()
-        self.learned(found_list)
-        self.apply(lambda now: self.engine.news(now, ev.NewsScope.CACHED, found_list.rows))
+        self.on_change(found_list)
+        self.apply(lambda now: self.engine.server_news(now, ev.NewsScope.CACHED, found_list.rows))
         self.due = self.schedule.start(clock())
         if not self.site.facts.asked_discovery:
             self.watch(True)
@@ -95,7 +95,7 @@
                 )
             self.reachable, self.failures = False, self.failures + 1
             if once:
-                self.apply(lambda now: self.engine.news(now, ev.NewsScope.FAILED, ()))
+                self.apply(lambda now: self.engine.server_news(now, ev.NewsScope.FAILED, ()))
                 return
 
     async def _follow(self) -> tuple[Loss, int, int, str]:
@@ -135,7 +135,7 @@
                 self._take(message)
         except (BrokenError, LateError, NotSentError, GapError, msgspec.MsgspecError):
             self.failures += 1
-            self.apply(lambda now: self.engine.news(now, ev.NewsScope.FAILED, ()))
+            self.apply(lambda now: self.engine.server_news(now, ev.NewsScope.FAILED, ()))
         finally:
             pool.close()
 
@@ -143,8 +143,8 @@
         change = self.roster.take(message)
         if change is None:
             return
-        self.learned(change)
-        self.apply(lambda now: self.engine.news(now, ev.NewsScope.CHANGES, change.rows))
+        self.on_change(change)
+        self.apply(lambda now: self.engine.server_news(now, ev.NewsScope.CHANGES, change.rows))
         self._keep()
 
     def _keep(self) -> None:
@@ -154,7 +154,7 @@
         beside = self.kept.with_suffix(".new")
         try:
             with beside.open("wb") as file:
-                file.write(self.roster.to_bytes(wall()))
+                file.write(self.roster.to_bytes(wall_clock_us()))
                 file.flush()
                 os.fsync(file.fileno())
             beside.replace(self.kept)
--- a/ponddoor/front/process.py
+++ b/ponddoor/front/process.py
@@ -16,14 +16,14 @@
 from ponddoor.fleet.presence import Connectivity
 from ponddoor.fleet.shown import shown
 from ponddoor.front import effects as fx
-from ponddoor.front.acting import Acting, Standings, looking
+from ponddoor.front.acting import ActiveMechanisms, DeadFronts, unchanged_decisions
 from ponddoor.front.effects import Effect
 from ponddoor.front.engine import Engine
 from ponddoor.front.follower import Follower, Take
 from ponddoor.front.following import Following
 from ponddoor.front.hinting import Hinting
-from ponddoor.front.limits import SAMPLE, Gate, LagMeter
-from ponddoor.front.listing import ListKeeper
+from ponddoor.front.limits import SAMPLE_PERIOD_US, AdmissionGate, LagMeter
+from ponddoor.front.listing import ListClient
 from ponddoor.front.metrics import Metrics, Sample
 from ponddoor.front.pump import SECOND, Pump, clock
 from ponddoor.front.reconnect import ReconnectSchedule
@@ -34,7 +34,7 @@
 from ponddoor.front.taking import Terms, at_start, begun, taken, unusable, unusable_at_start
 from ponddoor.front.trace import Tracer
 from ponddoor.front.viewers import Viewers
-from ponddoor.front.words import WordSocket, wall
+from ponddoor.front.words import GossipSocket, wall_clock_us
 from ponddoor.interface.events import ServerState
 from ponddoor.interface.facts import SiteFacts
 from ponddoor.runtime.driver import Decisions
@@ -85,26 +85,26 @@
             self.following.recover()  # what was in force is the site, before anything is made of it
         site, terms = self.site, self._terms or begun(self.site)
         now = clock()
-        facts = replace(site.facts_of(me, seed), wall=wall() - now)
+        facts = replace(site.facts_of(me, seed), wall=wall_clock_us() - now)
         self.decisions = deciding(facts, now)
-        self.gate = Gate(site.limits, LagMeter(now + SAMPLE))
+        self.gate = AdmissionGate(site.limits, LagMeter(now + SAMPLE_PERIOD_US))
         self.engine = Engine(self.decisions, facts, self.gate)
         self._pump = Pump(self.engine, self._carry_out)
         self.apply = self._pump.apply
         self.tracer = Tracer(trace, facts, now) if trace is not None else None
-        self.engine.traced = self.tracer.fed if self.tracer is not None else None
+        self.engine.on_event_handled = self.tracer.fed if self.tracer is not None else None
         self.metrics = Metrics(self._samples, self._fleet)
         self.hinting: Hinting | None = None
-        offset = now - wall()
+        offset = now - wall_clock_us()
         roster = Roster(site.zones, site.kinds, facts.plant.cells, offset)
         self.servers = Servers(site, me, secrets.randbits(48), self.engine, self.apply)
-        self.servers.tells_terms = self.following is not None
+        self.servers.sends_group_terms = self.following is not None
         grace, step = facts.rules.drain_grace, site.listing.retry
         schedule = ReconnectSchedule(me, facts.fronts, grace, facts.seed, step)
-        learned = self.servers.learn
-        self.listing = ListKeeper(site, me, roster, self.engine, self.apply, learned, kept, schedule)
+        learned = self.servers.apply_list_change
+        self.listing = ListClient(site, me, roster, self.engine, self.apply, learned, kept, schedule)
         seal = Seal(site.words.key, me, len(site.fronts), site.words.age)
-        self.words = WordSocket(site, me, seal, self._heard)
+        self.words = GossipSocket(site, me, seal, self._heard)
         self.viewers = Viewers(terms, self.engine, self.apply, self._address, self.metrics.answered)
         self.seating = self._seats(kept) if site.seats.limits else None
         if self.seating is not None and noted is not None:
@@ -116,7 +116,7 @@
             self.hinting = self.viewers.hinting = self.servers.hinting = hinting
         self.web = Server(self.viewers.handle, bounds_of(site.limits))
         self.metrics_web = Server(self.metrics.handle, Bounds(connections=50, per_address=50))
-        self.acting, self.standings = Acting(), Standings()
+        self.acting, self.standings = ActiveMechanisms(), DeadFronts()
         self._tasks: list[asyncio.Task[None]] = []
         self._stopping = asyncio.Event()
         self.port = 0
@@ -128,13 +128,13 @@
         match effect:
             case fx.SendSetup() | fx.SendTeardown() | fx.SendRung() | fx.SendProbe() | fx.CloseIdle():
                 self.servers.carry_out(effect)
-            case fx.SendWord(peer, payload):
+            case fx.SendGossip(peer, payload):
                 self.words.send(peer, payload)
             case fx.WatchList(active):
                 self.listing.watch(active)
             case fx.FetchList():
                 self.listing.fetch()
-            case fx.Say(level, event, sess, detail):
+            case fx.WriteLog(level, event, sess, detail):
                 getattr(log, level)(event, session=sess, detail=detail)
             case fx.Reply(sess, answer):
                 if self._log_requests:
@@ -146,7 +146,7 @@
     def _heard(self, peer: int, payload: bytes) -> None:
         if self.seating is not None and self.seating.heard(peer, payload):
             return
-        self.apply(lambda now: self.engine.word(now, peer, payload))
+        self.apply(lambda now: self.engine.peer_message(now, peer, payload))
 
     def _address(self, server: int) -> str:
         entry = self.listing.roster.entries.get(server)
@@ -180,7 +180,7 @@
             await self.words.start()
         if self.seating is not None:
             self.seating.start()
-        self.gate.lag.due = clock() + SAMPLE
+        self.gate.lag.due = clock() + SAMPLE_PERIOD_US
         self.listing.begin()
         if self.following is not None:
             self.following.begin()
@@ -301,14 +301,14 @@
             ladder=site.facts.ladder,
             over_share_utility=site.facts.over_share_utility,
         )
-        return self.engine.new_terms(now, facts) if facts != old else []
+        return self.engine.update_facts(now, facts) if facts != old else []
 
     def drain(self) -> None:
         """No new requests; the second call ends it."""
         if self.gate.draining:
             self._stopping.set()
         self.gate.draining = True
-        log.info("draining", in_hand=self.engine.in_hand, held=self.engine.held)
+        log.info("draining", in_hand=self.engine.requests_in_hand, held=self.engine.sessions_held)
 
     async def run(self, path: Path | None = None) -> None:
         """Serve until SIGTERM has drained the front, or a second one ends it."""
@@ -323,7 +323,7 @@
                 await within(0.05, self._stopping.wait())
             if self.gate.draining:
                 limit = limit or clock() + self.site.limits.drain_time
-                if self.engine.in_hand == 0 and (self.engine.held == 0 or clock() >= limit):
+                if self.engine.requests_in_hand == 0 and (self.engine.sessions_held == 0 or clock() >= limit):
                     break
         await self.stop()
 
@@ -347,7 +347,7 @@
         await asyncio.sleep(0)  # closed sockets leave the loop in its next round
         self._pump.close()
         if self.tracer is not None:
-            self.engine.traced = None
+            self.engine.on_event_handled = None
             self.tracer.close()
         if self.hinting is not None and self.hinting.intake.counts:
             log.info("hints", **{k.replace(" ", "_"): n for k, n in self.hinting.intake.counts.items()})
@@ -388,8 +388,14 @@
             "",
             {"": counts.decision_ns / 1e9},
         )
-        yield "gauge", "requests_in_hand", "Requests not yet answered.", "", {"": self.engine.in_hand}
-        yield "gauge", "sessions_held", "Sessions waiting or playing.", "", {"": self.engine.held}
+        yield (
+            "gauge",
+            "requests_in_hand",
+            "Requests not yet answered.",
+            "",
+            {"": self.engine.requests_in_hand},
+        )
+        yield "gauge", "sessions_held", "Sessions waiting or playing.", "", {"": self.engine.sessions_held}
         yield "gauge", "connections", "Viewers' connections.", "", {"": self.web.open_connections}
         yield (
             "counter",
@@ -405,7 +411,7 @@
             "",
             {"": self.web.malformed},
         )
-        yield "counter", "words_told", "Words sent to other fronts.", "", {"": self.words.told}
+        yield "counter", "words_told", "Words sent to other fronts.", "", {"": self.words.sent}
         yield (
             "counter",
             "words_lost",
@@ -461,7 +467,7 @@
         )
         if isinstance(self.decisions, Front):
             front, now = self.decisions, clock()
-            with looking(front, now):
+            with unchanged_decisions(front, now):
                 rows = [s for s in front.servers.values() if s.row.state is not ServerState.GONE]
                 idle = {str(number): kb for number, kb in front.idle_by_server(rows, 1.0).items()}
                 rests = {str(s.row.server): float(front.setup_backoff_until(s) > now) for s in rows}
@@ -483,9 +489,9 @@
         if not isinstance(self.decisions, Front):
             return {}
         front, now = self.decisions, clock()
-        with looking(front, now):
+        with unchanged_decisions(front, now):
             servers = [n for n, s in front.servers.items() if s.row.state is not ServerState.GONE]
-            words = {"out": self.words.out.kinds, "in": self.words.come.kinds}
+            words = {"out": self.words.sent_traffic.kinds, "in": self.words.received_traffic.kinds}
             used = {"words": words, "processor_s": time.process_time(), "at_us": now}
             return shown(front.fleet, servers) | used
 
--- a/ponddoor/front/pump.py
+++ b/ponddoor/front/pump.py
@@ -20,14 +20,16 @@
     return time.monotonic_ns() // 1000
 
 
-TURNS = 4  # of the loop, from what our sockets have to its last consequence (an end is told a turn after it)
+LOOP_TURNS = (
+    4  # of the loop, from what our sockets have to its last consequence (an end is told a turn after it)
+)
 
 
-def once_read(call: Callable[[], None], turns: int = TURNS) -> None:
+def after_pending_reads(call: Callable[[], None], turns: int = LOOP_TURNS) -> None:
     """Call back once every byte, and every close, that has reached our sockets by now is handled.
 
     A turn of the loop asks the sockets first, then calls what was due, then what the sockets had."""
-    later = (lambda: once_read(call, turns - 1)) if turns > 1 else call
+    later = (lambda: after_pending_reads(call, turns - 1)) if turns > 1 else call
     asyncio.get_running_loop().call_soon(later)
 
 
@@ -74,7 +76,7 @@
 
     def _due(self) -> None:
         self._timer_at, self._timer = None, None
-        self.apply(self._engine.due)
+        self.apply(self._engine.run_due_timers)
 
     def close(self) -> None:
         """No timer comes any more."""
--- a/ponddoor/front/reconnect.py
+++ b/ponddoor/front/reconnect.py
@@ -13,10 +13,12 @@
 from ponddoor.state import SeededRandom
 
 SECOND = 1_000_000
-FLEET_RATE = 30  # first tries a second, while the bounds leave room for so few
-RETRY_PERIOD = 4 * SECOND  # between the beginnings of two tries of a front in a long outage
-PERIOD_SLACK = 4 * SECOND // 5  # by which one may be late; with a connection 1 s late 5.8 of the 6 s are used
-LEAST = 20_000  # us between two tries of one front
+FLEET_TRIES_PER_S = 30  # first tries a second, while the bounds leave room for so few
+RETRY_PERIOD_US = 4 * SECOND  # between the beginnings of two tries of a front in a long outage
+RETRY_PERIOD_SLACK_US = (
+    4 * SECOND // 5
+)  # by which one may be late; with a connection 1 s late 5.8 of the 6 s are used
+MIN_RETRY_INTERVAL_US = 20_000  # us between two tries of one front
 
 
 class Loss(Enum):
@@ -30,14 +32,14 @@
 
 
 # How long after the loss its news counts as told; of a silence, `lost` is told how much has gone by
-LEFT = {
+NEWS_LIMITS_US = {
     Loss.REFUSED: 2 * SECOND,
     Loss.BROKEN: 2 * SECOND,
     Loss.LATE: 4 * SECOND,
     Loss.SILENT: 4 * SECOND,
     Loss.TURNED_AWAY: 4 * SECOND,
 }
-MOVED = 4 * SECOND  # likewise after an order to follow another address
+REDIRECT_LIMIT_US = 4 * SECOND  # likewise after an order to follow another address
 
 
 @dataclass(slots=True)
@@ -52,7 +54,7 @@
     grace: int
     seed: int
     step: int = SECOND
-    period: int = RETRY_PERIOD
+    period: int = RETRY_PERIOD_US
     tries: int = 0  # that failed since anything was heard
     losses: dict[str, int] = field(default_factory=dict)
     out_since: int | None = None
@@ -72,7 +74,7 @@
     def moved(self, now: int) -> int:
         """The first try at another address, which all were told to follow in the same moment."""
         self.tries, self.out_since = 0, now
-        return self._begin(now + self._place(MOVED // 3))
+        return self._begin(now + self._place(REDIRECT_LIMIT_US // 3))
 
     def heard(self, now: int) -> None:
         """Something whole came from the list."""
@@ -85,16 +87,16 @@
     def lost(self, now: int, how: Loss, gone: int = 0, stay_away: int = 0) -> int:
         """When to try next. `gone` is how long ago it happened, `stay_away` what the answer asked for."""
         self.losses[how.value] = self.losses.get(how.value, 0) + 1
-        first, left = self.out_since is None, max(LEFT[how] - gone, SECOND // 2)
+        first, left = self.out_since is None, max(NEWS_LIMITS_US[how] - gone, SECOND // 2)
         self.out_since = now - gone if self.out_since is None else self.out_since
         if first:  # all that had it lose it together
-            return self._begin(now + max(stay_away, LEAST) + self._place(left // 3))
+            return self._begin(now + max(stay_away, MIN_RETRY_INTERVAL_US) + self._place(left // 3))
         self.tries = min(self.tries + 1, 30)
-        if now - self.out_since >= MOVED:
+        if now - self.out_since >= REDIRECT_LIMIT_US:
             return self._begin(self._next_in_period(now, stay_away))
         wait = self._chance.draw(self._longest_wait(left))
         # Who is told when to come back is told the same as all others: chance goes on top
-        return self._begin(now + stay_away + max(wait, LEAST))
+        return self._begin(now + stay_away + max(wait, MIN_RETRY_INTERVAL_US))
 
     def _begin(self, at: int) -> int:
         self._begun = at
@@ -105,19 +107,22 @@
 
         It is sooner where that moment lies too far from the beginning of the last try."""
         assert self.out_since is not None
-        since, mine = now + stay_away + LEAST - self.out_since, self.period * self.me // max(self.fronts, 1)
+        since, mine = (
+            now + stay_away + MIN_RETRY_INTERVAL_US - self.out_since,
+            self.period * self.me // max(self.fronts, 1),
+        )
         own = self.out_since + mine + -(-(since - mine) // self.period) * self.period
         if stay_away:
             return own
-        return max(min(own, self._begun + self.period + PERIOD_SLACK), now + LEAST)
+        return max(min(own, self._begun + self.period + RETRY_PERIOD_SLACK_US), now + MIN_RETRY_INTERVAL_US)
 
     def _longest_wait(self, left: int) -> int:
         """Grown with each failure, short of what the rules leave."""
-        return min(min(left // 3, self.step) << self.tries, MOVED // 3)
+        return min(min(left // 3, self.step) << self.tries, REDIRECT_LIMIT_US // 3)
 
     def _place(self, spread: int) -> int:
         """This front's place: an equal part of the spread by its number, and chance in the part's first half,
         so that neighbours never meet."""
-        spread = min(spread, self.fronts * SECOND // FLEET_RATE)
+        spread = min(spread, self.fronts * SECOND // FLEET_TRIES_PER_S)
         part = max(spread // max(self.fronts, 1), 1)
         return part * self.me + self._chance.draw(max(part // 2, 1))
--- a/ponddoor/front/sealed.py
+++ b/ponddoor/front/sealed.py
@@ -12,14 +12,14 @@
 from cryptography.hazmat.primitives.hmac import HMAC
 
 VERSION = 1
-MOST = 256  # bytes of a datagram
+MAX_DATAGRAM_BYTES = 256  # bytes of a datagram
 _HEAD = struct.Struct(">BHHQ")
 _MAC = 16
-ROOM = MOST - _HEAD.size - _MAC  # bytes of a payload
+MAX_PAYLOAD_BYTES = MAX_DATAGRAM_BYTES - _HEAD.size - _MAC  # bytes of a payload
 _WINDOW = 64  # words of one sender that are remembered, so that late ones are taken once
 
 
-class WordTooLongError(Exception):
+class PayloadTooLongError(Exception):
     """A payload that does not fit into a datagram."""
 
 
@@ -50,9 +50,9 @@
     _heard: dict[int, _Heard] = field(default_factory=dict)
 
     def seal(self, wall: int, payload: bytes) -> bytes:
-        """The datagram that carries a payload. Raises WordTooLongError."""
-        if len(payload) > ROOM:
-            raise WordTooLongError(f"{len(payload)} bytes, {ROOM} fit")
+        """The datagram that carries a payload. Raises PayloadTooLongError."""
+        if len(payload) > MAX_PAYLOAD_BYTES:
+            raise PayloadTooLongError(f"{len(payload)} bytes, {MAX_PAYLOAD_BYTES} fit")
         self._last = max(wall, self._last + 1)
         body = _HEAD.pack(VERSION, self.me, self.fronts, self._last) + payload
         return body + self._mac(body)
@@ -69,7 +69,7 @@
     def _wrong(self, wall: int, datagram: bytes) -> str:
         if len(datagram) < _HEAD.size + _MAC:
             return "cut"
-        if len(datagram) > MOST:
+        if len(datagram) > MAX_DATAGRAM_BYTES:
             return "long"
         body, mac = datagram[:-_MAC], datagram[-_MAC:]
         if not bytes_eq(self._mac(body), mac):
--- a/ponddoor/front/seating.py
+++ b/ponddoor/front/seating.py
@@ -8,7 +8,7 @@
 
 import structlog
 
-from ponddoor.front.words import wall
+from ponddoor.front.words import wall_clock_us
 from ponddoor.seats.core import Effect, Expired, Granted, Key, Message, Refused, Seats, Send, Timing, Write
 from ponddoor.seats.tokens import Token, made
 from ponddoor.seats.wire import pack, unpack
@@ -65,7 +65,9 @@
             log.warning("journal-tail-dropped", what=line)
         begun = [row[1] for row in [*(held.state or []), *held.records] if row and row[0] == "begun"]
         now = self.clock()
-        self.core = Seats(self.me, self.fronts, self.limits, self.timing, max([*begun, wall()]) + 1, now)
+        self.core = Seats(
+            self.me, self.fronts, self.limits, self.timing, max([*begun, wall_clock_us()]) + 1, now
+        )
         self.core.recover(now, held.state, held.records)
         self._first = self._journal.next_number - 1
         kept = [seat for share in self.core.shares.values() for seat in share.seats]
@@ -109,7 +111,7 @@
 
     def token(self, got: Granted) -> str:
         """The signed token of a grant; its time is told by the wall clock."""
-        expires = wall() + got.expires - self.clock()
+        expires = wall_clock_us() + got.expires - self.clock()
         text = Token(*got.key, got.viewer, got.sess, got.seat, got.generation, self.me, expires)
         return made(text, self.key)
 
--- a/ponddoor/front/servers.py
+++ b/ponddoor/front/servers.py
@@ -22,7 +22,7 @@
 from ponddoor.web.client import BrokenError, LateError, NotSentError, Pool
 
 SECOND = 1_000_000
-TEARDOWN_TRIES = 3
+TEARDOWN_ATTEMPTS = 3
 _RESULTS = {"full": ev.Result.FULL, "error": ev.Result.ERROR, "cancelled": ev.Result.CANCELLED}
 log = structlog.get_logger("servers")
 
@@ -84,9 +84,9 @@
     dropped_teardowns: int = 0
     _leaving: set[int] = field(default_factory=set)  # gone from the list, with sessions left
     hinting: Hinting | None = None
-    tells_terms: bool = False  # the site may change: a server is told by what terms a session plays
+    sends_group_terms: bool = False  # the site may change: a server is told by what terms a session plays
 
-    def learn(self, change: ListChange) -> None:
+    def apply_list_change(self, change: ListChange) -> None:
         """The list has changed: connect to who is new, let go of who is gone and holds nothing."""
         for entry in change.entries:
             number = entry.server
@@ -106,7 +106,7 @@
                 link.entry = entry
         self._leaving.update(number for number in change.gone if number in self.links)
         for number in sorted(self._leaving):
-            if not self.engine.playing_at(number):
+            if not self.engine.sessions_at(number):
                 self._drop(number)
 
     def _drop(self, number: int) -> None:
@@ -146,7 +146,7 @@
         return task
 
     async def _setup(self, effect: fx.SendSetup) -> None:
-        link, ask = self.links.get(effect.server), effect.ask
+        link, ask = self.links.get(effect.server), effect.request
         if link is None:
             self._answered(effect, ev.Result.MOOT)
             return
@@ -162,7 +162,7 @@
             "timeout_us": effect.timeout,
             "attach_us": self.site.servers.attach_time,
         }
-        held = self.engine.find(effect.sess) if self.tells_terms else None
+        held = self.engine.find(effect.sess) if self.sends_group_terms else None
         if held is not None:
             rates = [rate * held.group.rate_factor for rate in held.ladder.rate_kb]
             body |= {"group_name": held.group.name, "rates_kb": rates}
@@ -197,7 +197,7 @@
 
     async def _teardown(self, sess: str, attempt: int, server: int) -> None:
         """Guards against streams left running: tried again while the server is there to hear it."""
-        for attempt_no in range(TEARDOWN_TRIES):
+        for attempt_no in range(TEARDOWN_ATTEMPTS):
             link = self.links.get(server)
             if link is None:
                 return
@@ -238,7 +238,7 @@
             except (BrokenError, msgspec.MsgspecError):
                 result = ev.Result.RESET
         lag = round((asyncio.get_running_loop().time() - began) * SECOND)
-        self.apply(lambda now: self.engine.probed(now, server, lag, result, report))
+        self.apply(lambda now: self.engine.probe_answered(now, server, lag, result, report))
 
     async def _follow(self, number: int, link: _Link) -> None:
         """Keeps the stream of notes up. A server that refuses connections, is silent, or comes back as a new
@@ -269,7 +269,7 @@
                     continue
             except (LateError, NotSentError, msgspec.MsgspecError) as problem:
                 broken = str(problem)
-            if link.up or self.engine.playing_at(number):
+            if link.up or self.engine.sessions_at(number):
                 log.info("notes-lost", server=number, why=broken)
             link.up = False
             self._lose(number, frozenset())
@@ -284,7 +284,7 @@
         """Guards against streams left running at a server that was silent while we gave them up."""
         for sess, attempt in streams:
             held = self.engine.find(sess)
-            if held is None or held.end or held.attempt != attempt:
+            if held is None or held.end_reason or held.attempt != attempt:
                 self._spawn(self._teardown(sess, attempt, number))
 
     def _noted(self, number: int, got: NoteLine) -> None:
@@ -298,7 +298,7 @@
         if got.note == "ended":
             self.apply(lambda now: self.engine.stream_ended(now, got.sess, got.attempt, got.why))
         elif got.note in kinds:
-            self.apply(lambda now: self.engine.note(now, number, kinds[got.note], got.value))
+            self.apply(lambda now: self.engine.server_note(now, number, kinds[got.note], got.value))
 
     def _hinted(self, hinting: Hinting, number: int, got: NoteLine) -> None:
         """What a server passes on of its players, says of itself, or shows by its notes."""
--- a/ponddoor/front/viewers.py
+++ b/ponddoor/front/viewers.py
@@ -11,8 +11,8 @@
 import msgspec
 
 from ponddoor.front import effects as fx
-from ponddoor.front.effects import Answer, Ask, Effect
-from ponddoor.front.engine import Engine, Held, Phase, RepeatError, number_of
+from ponddoor.front.effects import Answer, Effect, ViewerRequest
+from ponddoor.front.engine import Engine, Phase, RepeatError, SessionRecord, stable_id
 from ponddoor.front.hinting import Hinting
 from ponddoor.front.seating import Seating
 from ponddoor.front.taking import Terms
@@ -82,7 +82,7 @@
                 return self._follow(self._found(sess))
             case "DELETE", ("sessions", sess):
                 self._found(sess)
-                self.apply(lambda now: self.engine.left(now, sess))
+                self.apply(lambda now: self.engine.viewer_left(now, sess))
                 return Reply(204)
             case "POST", ("sessions", sess, "hints"):
                 return self._report(self._found(sess), request)
@@ -128,22 +128,22 @@
                     if what == "ended" and queue.qsize() < EVENTS_AHEAD:
                         queue.put_nowait(None)
 
-    def _found(self, sess: str) -> Held:
+    def _found(self, sess: str) -> SessionRecord:
         held = self.engine.find(sess)
         if held is None:
             raise HttpError(404, "no-such-session", sess[:100])
         return held
 
-    def _asked(self, body: SessionAsk, key: str | None) -> Ask:
+    def _asked(self, body: SessionAsk, key: str | None) -> ViewerRequest:
         """What a request asks for, under the terms of now. A repeat is answered as the first was, whatever
         has become of its title or service group since: only what the viewer says of it is looked at."""
         group, tenant = self.terms.number_of_group(body.group), self.terms.number_of_tenant(body.tenant)
-        known = self.engine.repeated(tenant, key) if tenant is not None else None
+        known = self.engine.find_repeat(tenant, key) if tenant is not None else None
         if known is None or group is None or tenant is None:
             return self._checked(body)
-        return replace(known.ask, title=body.title, service_group=group, tenant=tenant, **_said(body))
+        return replace(known.request, title=body.title, service_group=group, tenant=tenant, **_said(body))
 
-    def _checked(self, body: SessionAsk) -> Ask:
+    def _checked(self, body: SessionAsk) -> ViewerRequest:
         names, tenants, site = self.terms.groups, self.terms.tenants, self.terms.site
         facts = site.facts
         if body.group not in names:
@@ -161,7 +161,7 @@
                 422, "top-below-floor", f"rung {top}: {body.group} plays at {group.floor} or above"
             )
         wait = group.setup_timeout if body.wait_ms is None else round(body.wait_ms * 1000)
-        return Ask(
+        return ViewerRequest(
             body.title,
             number,
             tenants[body.tenant] if tenants else 0,
@@ -183,7 +183,7 @@
         sess = secrets.token_hex(12)
         granted: Granted | None = None
         if body.entitlement:
-            known = self.engine.repeated(ask.tenant, key)
+            known = self.engine.find_repeat(ask.tenant, key)
             sess = known.sess if known is not None else sess
             taken = await self._take_seat(body, sess)
             if isinstance(taken, Refused):
@@ -204,7 +204,7 @@
             if request.gone.is_set():
                 self._drop_seat(sess)
                 return Reply(499, drop=True)
-        held: Held | None = None
+        held: SessionRecord | None = None
         refused: list[Answer] = []
         hinting = self.hinting
         means = hinting.on_request(request, body.cmcd, ask) if hinting else None
@@ -228,7 +228,7 @@
         if held is None:
             self._drop_seat(sess)
             return self._reply("", refused[0])
-        held_now: Held = held
+        held_now: SessionRecord = held
         if held_now.answer is None:
             request.when_gone = partial(self._leave, held_now, future)
             if request.gone.is_set():
@@ -247,12 +247,12 @@
 
     # Hints
 
-    def _dynamic(self, held: Held) -> tuple[tuple[str, str], ...]:
+    def _dynamic(self, held: SessionRecord) -> tuple[tuple[str, str], ...]:
         if self.hinting is None or held.phase is not Phase.PLAYING:
             return ()
         return ((cmsd.DYNAMIC, self.hinting.dynamic(held)),)
 
-    def _report(self, held: Held, request: Request) -> Reply:
+    def _report(self, held: SessionRecord, request: Request) -> Reply:
         if self.hinting is None:
             raise HttpError(404, "no-hints", "this site takes no hints")
         taken = self.hinting.report(held.sess, request)
@@ -337,9 +337,9 @@
         """A seat ran out: its session must not go on."""
         for sess in [sess for sess, held in self.seats.items() if held[1] == seat]:
             del self.seats[sess]
-            self.apply(lambda now, sess=sess: self.engine.left(now, sess))  # type: ignore[misc]
+            self.apply(lambda now, sess=sess: self.engine.viewer_left(now, sess))  # type: ignore[misc]
 
-    def _leave(self, held: Held, future: asyncio.Future[Answer]) -> None:
+    def _leave(self, held: SessionRecord, future: asyncio.Future[Answer]) -> None:
         """A waiting client is gone; with the last one who waits for this session, so is the viewer."""
         waiting = self.waiting.get(held.sess, [])
         if future.done() or future not in waiting:
@@ -348,7 +348,7 @@
         future.set_result(Answer("left"))
         if not waiting:
             self.waiting.pop(held.sess, None)
-            self.apply(lambda now: self.engine.left(now, held.sess))
+            self.apply(lambda now: self.engine.viewer_left(now, held.sess))
 
     def _reply(self, sess: str, answer: Answer) -> Reply:
         if answer.kind == "playing":
@@ -370,20 +370,20 @@
             return Reply(503, body, (("Retry-After", str(seconds)),))
         return Reply(502, {"session": sess, "state": "torn-down", "error": answer.why or answer.kind})
 
-    def _state(self, held: Held) -> dict[str, Any]:
+    def _state(self, held: SessionRecord) -> dict[str, Any]:
         state: dict[str, Any] = {
             "session": held.sess,
             "state": held.phase.value,
-            "title": held.ask.title,
+            "title": held.request.title,
             "group": held.group.name,
         }
         if held.phase is Phase.PLAYING:
             state |= {"server": self.address_of(held.server), "rung": held.rung}
         if held.phase is Phase.ENDED:
-            state["end"] = held.end
+            state["end"] = held.end_reason
         return state
 
-    def _follow(self, held: Held) -> Reply:
+    def _follow(self, held: SessionRecord) -> Reply:
         if self.following >= self.terms.site.limits.followers:
             raise HttpError(
                 503, "too-many-followers", f"{self.following} streams of events", (("Retry-After", "1"),)
@@ -417,7 +417,7 @@
     """The fields of an ask that are the viewer's own word."""
     return {
         "length": None if body.length_ms is None else round(body.length_ms * 1000),
-        "viewer": number_of(body.viewer) if body.viewer else 0,
+        "viewer": stable_id(body.viewer) if body.viewer else 0,
         "again": body.again,
         "moved": body.moved,
         "asked_top": body.top,
--- a/ponddoor/front/words.py
+++ b/ponddoor/front/words.py
@@ -7,21 +7,21 @@
 
 import structlog
 
-from ponddoor.front.sealed import Seal, WordTooLongError
+from ponddoor.front.sealed import PayloadTooLongError, Seal
 from ponddoor.interface.words import kind_of
 from ponddoor.settings.site import Site
 
-HEADERS = 28  # bytes of IPv4 and UDP around a datagram (RFC 791, RFC 768)
+UDP_IP_HEADER_BYTES = 28  # bytes of IPv4 and UDP around a datagram (RFC 791, RFC 768)
 log = structlog.get_logger("words")
 
 
-def wall() -> int:
+def wall_clock_us() -> int:
     """The wall clock in microseconds."""
     return time.time_ns() // 1000
 
 
 @dataclass(slots=True)
-class Traffic:
+class GossipTraffic:
     """Words one way by kind: of each how many, and their bytes with the headers around them."""
 
     kinds: dict[str, list[int]] = field(default_factory=dict)
@@ -29,11 +29,11 @@
     def add(self, payload: bytes, datagram: bytes) -> None:
         held = self.kinds.setdefault(kind_of(payload), [0, 0])
         held[0] += 1
-        held[1] += len(datagram) + HEADERS
+        held[1] += len(datagram) + UDP_IP_HEADER_BYTES
 
-    def plus(self, other: "Traffic") -> "Traffic":
+    def combined_with(self, other: "GossipTraffic") -> "GossipTraffic":
         """Both together, as a copy."""
-        made = Traffic({kind: list(row) for kind, row in self.kinds.items()})
+        made = GossipTraffic({kind: list(row) for kind, row in self.kinds.items()})
         for kind, (words, size) in other.kinds.items():
             held = made.kinds.setdefault(kind, [0, 0])
             held[0], held[1] = held[0] + words, held[1] + size
@@ -41,19 +41,19 @@
 
 
 @dataclass(slots=True)
-class WordSocket(asyncio.DatagramProtocol):
+class GossipSocket(asyncio.DatagramProtocol):
     """Sends and receives words. A datagram must come from its sender's configured address."""
 
     site: Site
     me: int
     seal: Seal
-    heard: Callable[[int, bytes], None]
+    on_message: Callable[[int, bytes], None]
     lost: dict[str, int] = field(default_factory=dict)
-    told: int = 0
-    out: Traffic = field(default_factory=Traffic)
-    come: Traffic = field(default_factory=Traffic)
+    sent: int = 0
+    sent_traffic: GossipTraffic = field(default_factory=GossipTraffic)
+    received_traffic: GossipTraffic = field(default_factory=GossipTraffic)
     _transport: asyncio.DatagramTransport | None = None
-    _said: set[int] = field(default_factory=set)
+    _reported_miscounts: set[int] = field(default_factory=set)
 
     async def start(self) -> None:
         loop = asyncio.get_running_loop()
@@ -62,19 +62,19 @@
         )
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        got = self.seal.open(wall(), data)
+        got = self.seal.open(wall_clock_us(), data)
         if got is None:
             for peer, fronts in self.seal.miscounted.items():
-                if peer not in self._said:
-                    self._said.add(peer)
+                if peer not in self._reported_miscounts:
+                    self._reported_miscounts.add(peer)
                     log.error("fronts-miscounted", peer=peer, theirs=fronts, ours=self.seal.fronts)
             return
         peer, payload = got
         if addr[:2] != self.site.fronts[peer].words:
             self._count("address")
             return
-        self.come.add(payload, data)
-        self.heard(peer, payload)
+        self.received_traffic.add(payload, data)
+        self.on_message(peer, payload)
 
     def error_received(self, exc: Exception) -> None:
         self._count("unreachable")
@@ -87,16 +87,16 @@
                 self._count("nobody")
                 continue
             try:
-                datagram = self.seal.seal(wall(), payload)
-                self._put(number, datagram)
-                self.told += 1
-                self.out.add(payload, datagram)
-            except WordTooLongError:
+                datagram = self.seal.seal(wall_clock_us(), payload)
+                self._send_datagram(number, datagram)
+                self.sent += 1
+                self.sent_traffic.add(payload, datagram)
+            except PayloadTooLongError:
                 self._count("too-long")
             except OSError:
                 self._count("unreachable")
 
-    def _put(self, number: int, datagram: bytes) -> None:
+    def _send_datagram(self, number: int, datagram: bytes) -> None:
         if self._transport is not None:
             self._transport.sendto(datagram, self.site.fronts[number].words)
 
--- a/ponddoor/node/board.py
+++ b/ponddoor/node/board.py
@@ -56,7 +56,7 @@
             self.roster.take(message)
         known = self.roster.all()
         self.on_change(known)
-        self.apply(lambda now: self.engine.news(now, ev.NewsScope.CACHED, known.rows))
+        self.apply(lambda now: self.engine.server_news(now, ev.NewsScope.CACHED, known.rows))
         self._watch_from(settings.board, self.schedule.start(clock()))
 
     def move_to(self, address: Address) -> None:
@@ -148,7 +148,7 @@
         self._feed_scheduled = bool(self._pending_rows)
         if self._feed_scheduled:
             asyncio.get_running_loop().call_soon(self._feed)
-        self.apply(lambda now: self.engine.news(now, ev.NewsScope.CHANGES, rows))
+        self.apply(lambda now: self.engine.server_news(now, ev.NewsScope.CHANGES, rows))
 
     def close(self) -> None:
         if self._watch_task is not None:
--- a/ponddoor/node/process.py
+++ b/ponddoor/node/process.py
@@ -13,10 +13,10 @@
 
 from ponddoor.decide import Front
 from ponddoor.front import effects as fx
-from ponddoor.front.acting import Acting, account
+from ponddoor.front.acting import ActiveMechanisms, server_account
 from ponddoor.front.effects import Effect
 from ponddoor.front.engine import Engine
-from ponddoor.front.limits import Gate, LagMeter
+from ponddoor.front.limits import AdmissionGate, LagMeter
 from ponddoor.front.pump import SECOND, Pump, clock
 from ponddoor.front.reconnect import ReconnectSchedule
 from ponddoor.front.roster import ListChange, Roster
@@ -64,7 +64,7 @@
             repeat_time=0, followers=0, drain_time=0,
         )  # fmt: skip
         self.front = Front(facts, now)
-        self.engine = Engine(self.front, facts, Gate(limits, LagMeter(1 << 60)))
+        self.engine = Engine(self.front, facts, AdmissionGate(limits, LagMeter(1 << 60)))
         self.pump = Pump(self.engine, self._carry_out)
         groups = tuple(group.name for group in facts.groups)
         apply = self.pump.apply
@@ -86,9 +86,9 @@
             self.reserve,
         )
         self.gossip = GossipSocket(
-            settings, lambda peer, data: apply(lambda now: self.engine.word(now, peer, data))
+            settings, lambda peer, data: apply(lambda now: self.engine.peer_message(now, peer, data))
         )
-        self.acting = Acting()
+        self.acting = ActiveMechanisms()
         self.memory = MemoryGauge()
         self.drain: DrainSchedule | None = None
         self._shutdown_requested = asyncio.Event()
@@ -106,9 +106,9 @@
                 self.servers.carry_out(effect)
             case fx.Reply() | fx.Push():
                 self.viewers.carry_out(effect)
-            case fx.SendWord(peer, payload):
+            case fx.SendGossip(peer, payload):
                 self.gossip.send(peer, payload)
-            case fx.Say(level, event, sess, detail):
+            case fx.WriteLog(level, event, sess, detail):
                 getattr(log, level)(event, session=sess, detail=detail)
             case fx.WatchList() | fx.FetchList():
                 pass  # the notice board sends its list and changes unasked
@@ -143,8 +143,8 @@
         self._shutdown_requested.set()
         log.info(
             "told-to-end",
-            in_hand=self.engine.in_hand,
-            held=self.engine.held,
+            in_hand=self.engine.requests_in_hand,
+            held=self.engine.sessions_held,
             refuse_in_ms=(self.drain.refuse_from - self.drain.told_at) // 1000,
             answer_in_ms=(self.drain.answer_by - self.drain.told_at) // 1000,
         )
@@ -185,7 +185,7 @@
             self._max_lag_us, due = max(self._max_lag_us, now - due), max(due + TICK_INTERVAL_US, now)
             self._tick(now)
             if self.log_accounts:
-                log.debug("account", rows=account(self.front, now))
+                log.debug("account", rows=server_account(self.front, now))
             if now >= log_at:
                 log_at = now + STATE_LOG_INTERVAL_US
                 self.acting.look(self.front, now)
@@ -207,21 +207,31 @@
         while drain.phase(clock()) is DrainPhase.FORWARDING:
             await asyncio.sleep(DRAIN_TICK_INTERVAL_US / SECOND)
             self._tick(clock())
-        log.info("drain-phase", phase="refusing", in_hand=self.engine.in_hand, held=self.engine.held)
+        log.info(
+            "drain-phase",
+            phase="refusing",
+            in_hand=self.engine.requests_in_hand,
+            held=self.engine.sessions_held,
+        )
         self.engine.gate.draining, self.viewers.ready = True, False
         await self.viewers.stop_accepting(drain.answer_by)
         while drain.phase(clock()) is DrainPhase.REFUSING and not self._is_drained():
             self.viewers.close_idle()
             await asyncio.sleep(DRAIN_TICK_INTERVAL_US / SECOND)
             self._tick(clock())
-        log.info("drain-phase", phase="closing", in_hand=self.engine.in_hand, held=self.engine.held)
+        log.info(
+            "drain-phase",
+            phase="closing",
+            in_hand=self.engine.requests_in_hand,
+            held=self.engine.sessions_held,
+        )
         await self._close(drain)
 
     def _is_drained(self) -> bool:
         """Whether no request is open, no session plays and no message is left to be sent."""
         viewers = self.viewers
         return not (
-            self.engine.held
+            self.engine.sessions_held
             or viewers.has_unfinished_requests
             or viewers.sessions.pending
             or self.servers.unsent
@@ -230,8 +240,9 @@
     def _log_state(self) -> None:
         counts, viewers, servers = self.engine.counts, self.viewers, self.servers
         log.info(
-            "state", in_hand=self.engine.in_hand, held=self.engine.held, viewers=len(viewers.connections),
-            servers=len(servers.links), releases_pending=len(viewers.sessions.pending),
+            "state", in_hand=self.engine.requests_in_hand, held=self.engine.sessions_held,
+            viewers=len(viewers.connections), servers=len(servers.links),
+            releases_pending=len(viewers.sessions.pending),
             sessions=viewers.sessions.counts, violations=viewers.sessions.violations.counts,
             lag_us=self._max_lag_us, memory_kb=self.memory.resident_kb(),
             faults=counts.faults, answers=counts.answers, setups=counts.setups, stray=counts.stray,
--- a/ponddoor/node/server_codec.py
+++ b/ponddoor/node/server_codec.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from ponddoor.front.effects import Ask
+from ponddoor.front.effects import ViewerRequest
 from ponddoor.interface import events as ev
 from ponddoor.node.lines import UnreadableError
 from ponddoor.platform.facts import report_field_name
@@ -147,7 +147,7 @@
     return report
 
 
-def encode_setup(sess: str, ask: Ask, group: str, rung: int, timeout: int) -> bytes:
+def encode_setup(sess: str, ask: ViewerRequest, group: str, rung: int, timeout: int) -> bytes:
     """A SETUP; `timeout` is in microseconds."""
     fields = {"class": group, "left": str(max(timeout // 1000, 1)), "key": ask.title, "rung": str(rung)}
     return _encode({"t": "new", "ref": sess, "f": fields, "d": ask.description})
--- a/ponddoor/node/server_link.py
+++ b/ponddoor/node/server_link.py
@@ -14,8 +14,8 @@
 import structlog
 
 from ponddoor.front import effects as fx
-from ponddoor.front.backoff import SPOILT_WAIT, ConnectBackoff
-from ponddoor.front.pump import SECOND, clock, once_read
+from ponddoor.front.backoff import UNREADABLE_LINE_WAIT_US, ConnectBackoff
+from ponddoor.front.pump import SECOND, after_pending_reads, clock
 from ponddoor.front.roster import Entry
 from ponddoor.interface import events as ev
 from ponddoor.node import server_codec as codec
@@ -103,7 +103,7 @@
     @property
     def needed(self) -> bool:
         """Whether messages are queued or unanswered, or sessions play at the server."""
-        plays = self.servers.engine.plays_at(self.number)
+        plays = self.servers.engine.has_sessions_at(self.number)
         return bool(self.queued or self.messages.probes or self.has_setups or plays)
 
     @property
@@ -129,7 +129,7 @@
         """Send a queued message once all data received so far is read: it may say that the viewer has left
         or that the server drains."""
         if self.servers.setups_enabled:
-            once_read(lambda: self._send_queued_item(item))
+            after_pending_reads(lambda: self._send_queued_item(item))
 
     def _send_queued_item(self, item: Outgoing) -> None:
         if self.connection is None:
@@ -161,7 +161,7 @@
     def _backoff_wait(self, now: int) -> int:
         """The time until the next connect is allowed, which is shorter where sessions stand: their server
         has to be heard within the lease."""
-        if self.servers.engine.plays_at(self.number):
+        if self.servers.engine.has_sessions_at(self.number):
             return self.backoff.wait(now, MAX_BACKOFF_WITH_SESSIONS_US)
         return self.backoff.wait(now)
 
@@ -216,7 +216,7 @@
         self.servers.count("connected")
         self.log_connection("connection-opened", connection)
         unproven = self.lease.connected(clock()) or self.refresh.completeness.doubted_from is not None
-        request_sign = unproven and self.servers.engine.plays_at(self.number)
+        request_sign = unproven and self.servers.engine.has_sessions_at(self.number)
         pending, self.pending_releases = self.pending_releases, {}
         for sess in pending:
             connection.release(clock(), sess)
@@ -265,7 +265,7 @@
     def end_unproven_sessions(self, now: int, standing_since: int) -> None:
         """Release and end the sessions that have stood since `standing_since` or longer: it was not proven
         within the limit that no message about them was missed."""
-        for held in self.servers.engine.playing_at(self.number):
+        for held in self.servers.engine.sessions_at(self.number):
             if held.standing_since <= standing_since:
                 self.release(now, held.sess)
         self.servers.end_sessions(self, "unproven", standing_since)
@@ -355,9 +355,9 @@
     def _back_off_after_protocol_error(self, connection: ServerConnection) -> None:
         now = clock()
         if connection.received_message:
-            self.backoff.hold(now, SPOILT_WAIT)
+            self.backoff.delay(now, UNREADABLE_LINE_WAIT_US)
         else:
-            self.backoff.failed(now, SPOILT_WAIT)
+            self.backoff.failed(now, UNREADABLE_LINE_WAIT_US)
 
     def fail_connections(self, reason: str) -> None:
         """End all connections to the server as broken."""
@@ -410,7 +410,7 @@
             self.connect()
         elif unconfirmed:
             self.connect_staggered()
-        if self.servers.engine.plays_at(self.number):
+        if self.servers.engine.has_sessions_at(self.number):
             if self.entry.state == "gone":
                 self.servers.end_sessions(self, "gone")
             else:
@@ -425,7 +425,7 @@
     def tick(self, now: int, idle: int) -> None:
         """Check what depends on time: the lease, missing and idle connections, partial lines. `idle` is the
         time in microseconds after which an unused connection is closed."""
-        connection, plays = self.connection, self.servers.engine.plays_at(self.number)
+        connection, plays = self.connection, self.servers.engine.has_sessions_at(self.number)
         if connection is None and (plays or self.pending_releases):
             self.connect_staggered()
         if connection is not None and plays and self.entry.state == "gone":
@@ -469,7 +469,7 @@
         """End all connections and sessions of a server whose lease is over, and queue the sessions' releases
         in case the server still lives."""
         self.fail_connections(reason)
-        for held in self.servers.engine.playing_at(self.number):
+        for held in self.servers.engine.sessions_at(self.number):
             self.queue_release(held.sess)
         self.servers.end_sessions(self, reason)
 
--- a/ponddoor/node/server_messages.py
+++ b/ponddoor/node/server_messages.py
@@ -88,8 +88,8 @@
         if self.link.entry.state != "ready":  # the state has changed since the engine decided
             servers.fail_unsent(item, ev.Result.MOOT)
             return
-        group = servers.groups[item.ask.service_group]
-        line = codec.encode_setup(sess, item.ask, group, item.rung, item.timeout)
+        group = servers.groups[item.request.service_group]
+        line = codec.encode_setup(sess, item.request, group, item.rung, item.timeout)
         # The server would close a connection with a longer line, and so fail all that is open on it
         if len(line) > codec.MAX_LINE_BYTES:
             servers.count("too-long")
@@ -156,7 +156,7 @@
             case codec.SessionNote(sess, kind, value):
                 servers, held = self.link.servers, self.link.servers.engine.find(sess)
                 if held is not None and held.server == self.link.number:
-                    servers.apply(lambda now: servers.engine.note_on(now, sess, kind, value))
+                    servers.apply(lambda now: servers.engine.session_note(now, sess, kind, value))
 
     def _setup_accepted(self, connection: ServerConnection, sess: str, passed: str) -> None:
         setup = connection.setups.pop(sess, None)
--- a/ponddoor/node/servers.py
+++ b/ponddoor/node/servers.py
@@ -144,7 +144,7 @@
 
     def _remove_if_unused(self, link: ServerLink) -> None:
         """Remove the link to a server that is gone, once no session or message depends on it."""
-        busy = self.engine.plays_at(link.number) or link.queued or link.has_setups
+        busy = self.engine.has_sessions_at(link.number) or link.queued or link.has_setups
         if link.entry.state == "gone" and not busy:
             if self.links.get(link.number) is link:
                 del self.links[link.number]
@@ -212,12 +212,12 @@
 
     def probe_answered(self, server: int, lag: int, result: ev.Result, report: dict[str, float]) -> None:
         """Tell the engine the outcome of a probe, after `lag` microseconds."""
-        self.apply(lambda now: self.engine.probed(now, server, lag, result, report))
+        self.apply(lambda now: self.engine.probe_answered(now, server, lag, result, report))
 
     def end_sessions(self, link: ServerLink, reason: str, standing_since: int | None = None) -> None:
         """End the sessions at a server as lost: all, or only those that have stood since `standing_since` or
         longer. At most MAX_SESSIONS_ENDED_PER_TURN end in one turn of the event loop."""
-        lost = self.engine.playing_at(link.number)
+        lost = self.engine.sessions_at(link.number)
         if standing_since is not None:
             lost = [held for held in lost if held.standing_since <= standing_since]
         if not lost or link.number in self._ending_sessions:
@@ -274,7 +274,7 @@
         self._unlisted_since.pop(link.number, None)
         for sess in self._unlisted_releases.pop(link.number, {}):
             link.queue_release(sess)
-        if link.pending_releases or self.engine.plays_at(link.number):
+        if link.pending_releases or self.engine.has_sessions_at(link.number):
             link.connect_staggered()
 
     def _release_unlisted(self, server: int, sess: str) -> None:
--- a/ponddoor/node/viewers.py
+++ b/ponddoor/node/viewers.py
@@ -9,9 +9,9 @@
 import structlog
 
 from ponddoor.front import effects as fx
-from ponddoor.front.effects import Answer, Ask
+from ponddoor.front.effects import Answer, ViewerRequest
 from ponddoor.front.engine import Engine
-from ponddoor.front.pump import SECOND, Apply, clock, once_read
+from ponddoor.front.pump import SECOND, Apply, after_pending_reads, clock
 from ponddoor.node import viewer_codec as codec
 from ponddoor.node.board_codec import server_number
 from ponddoor.node.listener import Listener
@@ -164,7 +164,7 @@
             self._send_due_releases()
 
     def _withdraw(self, session: str) -> None:
-        self.apply(lambda now: self.engine.left(now, session))
+        self.apply(lambda now: self.engine.viewer_left(now, session))
 
     def answer_now(self, session: str, reason: str) -> None:
         """Answer an open request at once, without waiting for a server."""
@@ -224,7 +224,7 @@
         if not usable:
             self._reject_unusable(connection, request.sess, "a parameter is out of range")
             return
-        ask = Ask(
+        ask = ViewerRequest(
             request.title,
             self.groups.index(request.group),
             0,
@@ -246,7 +246,7 @@
         else:
             self._receive(connection, request.sess, ask)
 
-    def _take_over(self, connection: ViewerConnection, session: str, ask: Ask, server: int) -> None:
+    def _take_over(self, connection: ViewerConnection, session: str, ask: ViewerRequest, server: int) -> None:
         if self._is_known(session):
             return
         stands = self.sessions.hand_over(clock(), session, connection)
@@ -258,19 +258,19 @@
             self.count("released-before-hand-over")
             self._withdraw(session)
 
-    def _receive(self, connection: ViewerConnection, session: str, ask: Ask) -> None:
+    def _receive(self, connection: ViewerConnection, session: str, ask: ViewerRequest) -> None:
         """Register a request, and submit it once all input that has arrived by now is read.
 
         A request that is withdrawn by input that arrived with it does not reach the engine, where it would
         count as an arrival; the rate of arrivals paces the probes."""
         read_at = clock()
         self.sessions.receive(read_at, session, connection, ask.wait)
-        if self.sessions.received + self.engine.in_hand <= self.engine.gate.limits.in_hand:
-            once_read(lambda: self._submit(session, ask, read_at))
+        if self.sessions.received + self.engine.requests_in_hand <= self.engine.gate.limits.in_hand:
+            after_pending_reads(lambda: self._submit(session, ask, read_at))
         else:  # over the limit: the engine answers busy at once
             self._submit(session, ask, read_at)
 
-    def _submit(self, session: str, ask: Ask, read_at: int) -> None:
+    def _submit(self, session: str, ask: ViewerRequest, read_at: int) -> None:
         now = clock()
         record = self.sessions.find(session)
         if record is None or record.since != read_at or not self.sessions.submit(now, session):
--- a/ponddoor/rehearse/hollow_front.py
+++ b/ponddoor/rehearse/hollow_front.py
@@ -15,14 +15,14 @@
 
 from ponddoor.decide import Front
 from ponddoor.front import effects as fx
-from ponddoor.front.acting import Standings
-from ponddoor.front.effects import Answer, Ask, Effect
-from ponddoor.front.engine import Engine, number_of
-from ponddoor.front.limits import Gate, LagMeter
+from ponddoor.front.acting import DeadFronts
+from ponddoor.front.effects import Answer, Effect, ViewerRequest
+from ponddoor.front.engine import Engine, stable_id
+from ponddoor.front.limits import AdmissionGate, LagMeter
 from ponddoor.front.pump import SECOND, Pump, clock
 from ponddoor.front.reconnect import ReconnectSchedule
 from ponddoor.front.sealed import Seal
-from ponddoor.front.words import Traffic, WordSocket, wall
+from ponddoor.front.words import GossipSocket, GossipTraffic, wall_clock_us
 from ponddoor.interface import events as ev
 from ponddoor.interface.words import kind_of
 from ponddoor.rehearse.day import Day, Viewer, viewers_of
@@ -69,7 +69,7 @@
             super()._due()
 
 
-class HollowWords(WordSocket):
+class HollowWords(GossipSocket):
     """A front's words, on which the faults in force between hollow fronts are put where they leave.
 
     Words to a real front pass the rehearsal's relay, which puts them on there."""
@@ -81,14 +81,14 @@
         if not self.without or kind_of(payload) != self.without:
             super().send(peer, payload)
 
-    def _put(self, number: int, datagram: bytes) -> None:
+    def _send_datagram(self, number: int, datagram: bytes) -> None:
         wait = self.passes(self.me, number)
         if wait is None:
             return
         if wait > 0:
-            asyncio.get_running_loop().call_later(wait, super()._put, number, datagram)
+            asyncio.get_running_loop().call_later(wait, super()._send_datagram, number, datagram)
         else:
-            super()._put(number, datagram)
+            super()._send_datagram(number, datagram)
 
 
 @dataclass(slots=True)
@@ -109,7 +109,7 @@
     engine: Engine
     pump: HollowPump
     words: HollowWords
-    standings: Standings = field(default_factory=Standings)
+    standings: DeadFronts = field(default_factory=DeadFronts)
     epoch: int = 0
 
 
@@ -121,7 +121,7 @@
         self.life: _Life | None = None
         self.starts, self.began = 0, 0
         self.counts: dict[str, int] = {}
-        self.out, self.come = Traffic(), Traffic()  # of lives that are over
+        self.out, self.come = GossipTraffic(), GossipTraffic()  # of lives that are over
         self._rng = np.random.default_rng([around.day.seed, 73, me])
         self._viewers = deque[Viewer]()
         self._seen: dict[str, _Seen] = {}
@@ -140,9 +140,9 @@
             site = replace(site, fronts=(*site.fronts[: self.me], place, *site.fronts[self.me + 1 :]))
         self.starts += 1
         seed = (around.day.seed * 1000 + self.me) * 1000 + self.starts
-        facts = replace(site.facts_of(self.me, seed), wall=wall() - now)
+        facts = replace(site.facts_of(self.me, seed), wall=wall_clock_us() - now)
         decisions = Front(facts, now)
-        engine = Engine(decisions, facts, Gate(site.limits, around.lag))
+        engine = Engine(decisions, facts, AdmissionGate(site.limits, around.lag))
         pump = HollowPump(engine, self._carry_out)
         seal = Seal(site.words.key, self.me, len(site.fronts), site.words.age)
         words = HollowWords(site, self.me, seal, self._heard)
@@ -152,7 +152,7 @@
         if around.followers is not None:
             around.followers.begin(self.me, facts)
         known = around.rows() if self.starts > 1 else ()  # a first life has no list on disk
-        self.apply(lambda now: engine.news(now, ev.NewsScope.CACHED, known))
+        self.apply(lambda now: engine.server_news(now, ev.NewsScope.CACHED, known))
         grace, step = facts.rules.drain_grace, site.listing.retry
         schedule = ReconnectSchedule(self.me, facts.fronts, grace, facts.seed, step)
         self._after(schedule.start(clock()) - clock(), self.listed)
@@ -215,17 +215,17 @@
         """All of the list, as it is now."""
         if self.life is not None:
             engine, rows = self.life.engine, self.around.rows()
-            self.apply(lambda now: engine.news(now, ev.NewsScope.FULL, rows))
+            self.apply(lambda now: engine.server_news(now, ev.NewsScope.FULL, rows))
 
     def news(self, scope: ev.NewsScope, rows: tuple[ev.ServerRow, ...]) -> None:
         if self.life is not None:
             engine = self.life.engine
-            self.apply(lambda now: engine.news(now, scope, rows))
+            self.apply(lambda now: engine.server_news(now, scope, rows))
 
     def _heard(self, peer: int, payload: bytes) -> None:
         if self.life is not None:
             engine = self.life.engine
-            self.apply(lambda now: engine.word(now, peer, payload))
+            self.apply(lambda now: engine.peer_message(now, peer, payload))
 
     def _after(self, wait: int, call: Callable[[], None]) -> None:
         """Call in so many microseconds."""
@@ -245,7 +245,7 @@
             return
         engine = life.engine
         match effect:
-            case fx.SendWord(peer, payload):
+            case fx.SendGossip(peer, payload):
                 life.words.send(peer, payload)
             case fx.SendSetup(sess, attempt, number):
                 server = self.around.server(number)
@@ -284,7 +284,7 @@
     def _probe(self, life: _Life, number: int) -> None:
         def outcome(lag: int, result: ev.Result, report: dict[str, float]) -> None:
             if self.life is life:
-                self.apply(lambda now: life.engine.probed(now, number, lag, result, report))
+                self.apply(lambda now: life.engine.probe_answered(now, number, lag, result, report))
 
         server = self.around.server(number)
         if server is None:
@@ -327,8 +327,9 @@
             return
         length = round((seen.end - now) * float(self._rng.uniform(0.7, 1.4)))
         top = min(viewer.top, group.top, len(site.facts.ladder.rate_kb) - 1)
-        ask = Ask(viewer.title, viewer.group, viewer.tenant, place.home, place.span, top, group.setup_timeout,
-                  length, number_of(f"v{viewer.number}"), seen.tries > 1, moved)  # fmt: skip
+        ask = ViewerRequest(viewer.title, viewer.group, viewer.tenant, place.home, place.span, top,
+                  group.setup_timeout, length, stable_id(f"v{viewer.number}"), seen.tries > 1,
+                  moved)  # fmt: skip
         sess = f"h{self.me}.{self.starts}.{next(self._numbers)}"
         self._seen[sess] = seen
         engine = self.life.engine
@@ -350,7 +351,7 @@
         if self._seen.pop(sess, None) is not None and self.life is not None:
             engine = self.life.engine
             self._count("over")
-            self.apply(lambda now: engine.left(now, sess))
+            self.apply(lambda now: engine.viewer_left(now, sess))
 
     def _ended(self, sess: str, what: str, why: str) -> None:
         seen = self._seen.pop(sess, None)
@@ -365,7 +366,7 @@
         """A stream ended at its server: its viewer sees that, and leaves the session."""
         if self.life is not None and sess in self._seen:
             engine = self.life.engine
-            self.apply(lambda now: engine.left(now, sess))
+            self.apply(lambda now: engine.viewer_left(now, sess))
             self._broken(sess)
 
     def _broken(self, sess: str) -> None:
@@ -385,9 +386,11 @@
 
     # What is told of it
 
-    def _ever(self, life: _Life) -> tuple[Traffic, Traffic]:
+    def _ever(self, life: _Life) -> tuple[GossipTraffic, GossipTraffic]:
         """What it said and heard in the lives before this one, and in this one."""
-        return self.out.plus(life.words.out), self.come.plus(life.words.come)
+        return self.out.combined_with(life.words.sent_traffic), self.come.combined_with(
+            life.words.received_traffic
+        )
 
     def told(self) -> dict[str, Any]:
         """Its words by kind in all its lives, and what it holds."""
@@ -409,7 +412,7 @@
             "lost": life.words.lost,
             "refused": life.words.seal.refused,
             "keeps": [group for group in fleet.groups if self.me in fleet.owners(group)],
-            "held": life.engine.held,
+            "held": life.engine.sessions_held,
             "faults": life.engine.counts.faults,
             "decision_s": life.engine.counts.decision_ns / 1e9,
             "setups": life.engine.counts.setups,
--- a/ponddoor/rehearse/hollow_process.py
+++ b/ponddoor/rehearse/hollow_process.py
@@ -16,10 +16,10 @@
 import msgspec
 import structlog
 
-from ponddoor.front.limits import SAMPLE, LagMeter
+from ponddoor.front.limits import SAMPLE_PERIOD_US, LagMeter
 from ponddoor.front.pump import SECOND, clock
 from ponddoor.front.roster import GapError, Roster, decode
-from ponddoor.front.words import wall
+from ponddoor.front.words import wall_clock_us
 from ponddoor.interface import events as ev
 from ponddoor.rehearse.day import Day
 from ponddoor.rehearse.hollow_following import Followers
@@ -80,7 +80,7 @@
     mine: tuple[int, ...]
     until: float  # s, of the monotonic clock
     followers: Followers | None = None  # of the configuration
-    lag: LagMeter = field(default_factory=lambda: LagMeter(clock() + SAMPLE))
+    lag: LagMeter = field(default_factory=lambda: LagMeter(clock() + SAMPLE_PERIOD_US))
     fronts: dict[int, HollowFront] = field(default_factory=dict)
     pretended: dict[int, PretendedServer] = field(default_factory=dict)
     rules: tuple[Rule, ...] = ()
@@ -99,7 +99,9 @@
 
     def __post_init__(self) -> None:
         self._control = Server(self.handle, Bounds(connections=20, per_address=20, body_bytes=BODY))
-        self.roster = Roster(self.site.zones, self.site.kinds, self.site.facts.plant.cells, clock() - wall())
+        self.roster = Roster(
+            self.site.zones, self.site.kinds, self.site.facts.plant.cells, clock() - wall_clock_us()
+        )
         self._rng = random.Random(self.day.seed * 1000 + (self.mine[0] if self.mine else 0))
         self.fronts = {me: HollowFront(self, me) for me in self.mine}
 
@@ -198,7 +200,7 @@
     def noted(self, server: int, kind: ev.NoteKind, value: float) -> None:
         for front in self.fronts.values():
             if (life := front.life) is not None:
-                front.apply(lambda now, engine=life.engine: engine.note(now, server, kind, value))  # type: ignore[misc]
+                front.apply(lambda now, engine=life.engine: engine.server_note(now, server, kind, value))  # type: ignore[misc]
 
     def stream_over(self, front: int, sess: str, attempt: int) -> None:
         self.fronts[front].stream_over(sess)
--- a/ponddoor/rehearse/hollow_servers.py
+++ b/ponddoor/rehearse/hollow_servers.py
@@ -78,7 +78,7 @@
         if not self.up:
             self._after(ACROSS, lambda: outcome(ev.Result.CONNECT_FAILED, {}, {}))
             return
-        ask, key = effect.ask, (effect.sess, effect.attempt)
+        ask, key = effect.request, (effect.sess, effect.attempt)
         got = Setup(effect.sess, front, epoch, effect.attempt, ask.title, ask.service_group, effect.rung,
                     effect.timeout, ask.top)  # fmt: skip
         self.fall_if_rushed()
--- a/tests/following/test_core.py
+++ b/tests/following/test_core.py
@@ -22,7 +22,7 @@
     Tell,
     Watch,
 )
-from ponddoor.front.reconnect import LEAST, MOVED, Loss, ReconnectSchedule
+from ponddoor.front.reconnect import MIN_RETRY_INTERVAL_US, REDIRECT_LIMIT_US, Loss, ReconnectSchedule
 from ponddoor.settings.sexpr import parse
 from ponddoor.settings.site import Site
 
@@ -409,7 +409,7 @@
         front.on(front.core.lost(front.now, 0, Loss.BROKEN))
     assert max(Counter(front.core.at for front in fleet).values()) == 41
     moments = sorted((front.core.next_try or 0) - front.now for front in fleet)
-    assert moments[-1] <= 2 * SECOND // 3 + LEAST and moments[82] >= 2 * SECOND // 9
+    assert moments[-1] <= 2 * SECOND // 3 + MIN_RETRY_INTERVAL_US and moments[82] >= 2 * SECOND // 9
 
 
 def test_the_even_period_of_a_long_outage() -> None:
@@ -419,7 +419,7 @@
     for front, moment in zip(fleet, tries, strict=True):
         while moment < 100 * SECOND:
             moment = front.lost(moment, Loss.LATE)
-            later += [moment] if moment >= MOVED + EVEN else []
+            later += [moment] if moment >= REDIRECT_LIMIT_US + EVEN else []
     seconds = Counter(moment // SECOND for moment in later if 20 * SECOND <= moment < 100 * SECOND)
     assert set(seconds.values()) == {205} and len(seconds) == 80
 
--- a/tests/following/test_front.py
+++ b/tests/following/test_front.py
@@ -13,7 +13,7 @@
 from ponddoor.front.engine import Engine
 from ponddoor.front.follower import Follower
 from ponddoor.front.following import Following
-from ponddoor.front.limits import Gate, LagMeter
+from ponddoor.front.limits import AdmissionGate, LagMeter
 from ponddoor.front.process import FrontProcess
 from ponddoor.front.trace import replay
 from ponddoor.interface import events as ev
@@ -274,15 +274,15 @@
     three = "(rung (rate 300kB/s) (utility 0.7))\n    (rung (rate 900kB/s) (utility 1))"
     site = loads(site_text(ports=[1, 2, 3], list_port=9).replace(three, ""))
     facts = site.facts_of(0, 1)
-    engine = Engine(Front(facts, 0), facts, Gate(site.limits, LagMeter(1 << 60)))
+    engine = Engine(Front(facts, 0), facts, AdmissionGate(site.limits, LagMeter(1 << 60)))
     row = ev.ServerRow(1, 0, 0, 0, ev.ServerState.READY, 2.0, 0)
-    engine.news(0, ev.NewsScope.CACHED, (row,))
+    engine.server_news(0, ev.NewsScope.CACHED, (row,))
     now = 20_000_000
     engine.request(now, "a", replace(ASK, top=0), None)
     engine.setup_answered(now, "a", 0, 1, None, {}, {"link": 0.1})
     while (due := engine.next_due) is not None and due < now + 10_000_000:
-        engine.due(max(due, now))
-    assert engine.counts.faults == 0 and engine.held == 1
+        engine.run_due_timers(max(due, now))
+    assert engine.counts.faults == 0 and engine.sessions_held == 1
 
 
 # Never back
--- a/tests/front/conftest.py
+++ b/tests/front/conftest.py
@@ -12,9 +12,9 @@
 from ponddoor.audit.rules import Breach, audit
 from ponddoor.decide import Front
 from ponddoor.front import effects as fx
-from ponddoor.front.effects import Ask, Effect
+from ponddoor.front.effects import Effect, ViewerRequest
 from ponddoor.front.engine import Engine, RepeatError
-from ponddoor.front.limits import Gate, LagMeter
+from ponddoor.front.limits import AdmissionGate, LagMeter
 from ponddoor.front.process import FrontProcess
 from ponddoor.front.roster import Entry
 from ponddoor.interface import events as ev
@@ -102,12 +102,12 @@
     def begin(self) -> Engine:
         site = loads(site_text(**self.parts))
         facts = site.facts_of(0, 1)
-        gate = Gate(site.limits, LagMeter(1 << 60))
+        gate = AdmissionGate(site.limits, LagMeter(1 << 60))
         self.engine = Engine(Front(facts, 0), facts, gate)
         rows = tuple(
             ev.ServerRow(n, 0, 0, i % 3, ev.ServerState.READY, 2.0, 0) for i, n in enumerate(self.servers)
         )
-        self.take(self.engine.news(0, ev.NewsScope.CACHED, rows))
+        self.take(self.engine.server_news(0, ev.NewsScope.CACHED, rows))
         return self.engine
 
     def take(self, effects: list[Effect]) -> None:
@@ -123,7 +123,7 @@
                     self.seen.append(f"push {sess} {what} {value}")
                 case fx.SendRung(sess, attempt, _, rung):
                     self.seen.append(f"rung {sess} {attempt} {rung}")
-                case fx.Say(level, event):
+                case fx.WriteLog(level, event):
                     self.seen.append(f"say {level} {event}")
                 case _:
                     self.seen.append(type(effect).__name__.lower())
@@ -134,7 +134,7 @@
         until = round(float(moment.rstrip("s")) * 1_000_000)
         while (due := engine.next_due) is not None and due <= until:
             self.now = max(self.now, due)
-            self.take(engine.due(self.now))
+            self.take(engine.run_due_timers(self.now))
         self.now = until
         plain = [word for word in words if "=" not in word]
         options = dict(word.split("=") for word in words if "=" in word)
@@ -144,7 +144,7 @@
     def happen(self, engine: Engine, what: str, plain: list[str], options: dict[str, str]) -> list[Effect]:
         name, numbers = plain[0], [int(text) for text in plain[1:] if text.isdigit()]
         if what == "ask":
-            ask = Ask(options.get("title", "t"), 0, 0, 0, 3, 2, int(options.get("wait", 2_000_000)))
+            ask = ViewerRequest(options.get("title", "t"), 0, 0, 0, 3, 2, int(options.get("wait", 2_000_000)))
             try:
                 held, effects = engine.request(self.now, name, ask, options.get("key"))
             except RepeatError:
@@ -153,10 +153,10 @@
             self.seen.append(f"held {held.sess}" if held else "held nobody")
             return effects
         if what == "left":
-            return engine.left(self.now, name)
+            return engine.viewer_left(self.now, name)
         if what == "gone":
             row = ev.ServerRow(int(name), 0, 0, 0, ev.ServerState.DRAINING, 2.0, 0)
-            return engine.news(self.now, ev.NewsScope.CHANGES, (row,))
+            return engine.server_news(self.now, ev.NewsScope.CHANGES, (row,))
         if what == "lost":
             return engine.server_lost(self.now, int(name))
         if what == "ended":
--- a/tests/front/test_cores.py
+++ b/tests/front/test_cores.py
@@ -5,9 +5,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from ponddoor.front.limits import SAMPLE, LagMeter
+from ponddoor.front.limits import SAMPLE_PERIOD_US, LagMeter
 from ponddoor.front.roster import Entry, GapError, Kept, ListMessage, Roster, decode, encode
-from ponddoor.front.sealed import MOST, ROOM, Seal, WordTooLongError
+from ponddoor.front.sealed import MAX_DATAGRAM_BYTES, MAX_PAYLOAD_BYTES, PayloadTooLongError, Seal
 from ponddoor.interface.events import ServerState
 
 KEY, AGE, NOW = bytes(range(32)), 10_000_000, 1_700_000_000_000_000
@@ -117,9 +117,9 @@
 
 def test_datagrams_hold_256_bytes() -> None:
     mine, _ = seals()
-    assert len(mine.seal(NOW, bytes(ROOM))) == MOST == 256
-    with pytest.raises(WordTooLongError):
-        mine.seal(NOW, bytes(ROOM + 1))
+    assert len(mine.seal(NOW, bytes(MAX_PAYLOAD_BYTES))) == MAX_DATAGRAM_BYTES == 256
+    with pytest.raises(PayloadTooLongError):
+        mine.seal(NOW, bytes(MAX_PAYLOAD_BYTES + 1))
 
 
 @pytest.mark.parametrize(
@@ -156,9 +156,9 @@
 
 
 def test_lag_counts_before_its_tick_and_until_the_next_in_time() -> None:
-    meter = LagMeter(due=SAMPLE)
-    assert meter.lag(SAMPLE) == 0 and meter.lag(SAMPLE + 300_000) == 300_000
-    meter.tick(SAMPLE + 300_000)
-    assert meter.lag(SAMPLE + 300_001) == 300_000
+    meter = LagMeter(due=SAMPLE_PERIOD_US)
+    assert meter.lag(SAMPLE_PERIOD_US) == 0 and meter.lag(SAMPLE_PERIOD_US + 300_000) == 300_000
+    meter.tick(SAMPLE_PERIOD_US + 300_000)
+    assert meter.lag(SAMPLE_PERIOD_US + 300_001) == 300_000
     meter.tick(meter.due)
     assert meter.lag(meter.due) == 0
--- a/tests/front/test_engine.py
+++ b/tests/front/test_engine.py
@@ -9,9 +9,9 @@
 
 from ponddoor.decide import Front
 from ponddoor.front import effects as fx
-from ponddoor.front.effects import Ask
+from ponddoor.front.effects import ViewerRequest
 from ponddoor.front.engine import Engine
-from ponddoor.front.limits import Gate, LagMeter
+from ponddoor.front.limits import AdmissionGate, LagMeter
 from ponddoor.interface import actions as act
 from ponddoor.interface import events as ev
 from ponddoor.interface.facts import SiteFacts
@@ -21,7 +21,7 @@
 from .conftest import site_text
 
 SCENARIOS = sorted((Path(__file__).parent / "scenarios").glob("*.txt"))
-ASK = Ask("t", 0, 0, 0, 3, 2, 2_000_000)
+ASK = ViewerRequest("t", 0, 0, 0, 3, 2, 2_000_000)
 
 
 @pytest.mark.parametrize("path", SCENARIOS, ids=lambda path: path.stem)
@@ -51,7 +51,7 @@
 
 def engine_of(decisions: Faulty) -> Engine:
     site = loads(site_text())
-    return Engine(decisions, site.facts_of(0, 1), Gate(site.limits, LagMeter(1 << 60)))
+    return Engine(decisions, site.facts_of(0, 1), AdmissionGate(site.limits, LagMeter(1 << 60)))
 
 
 def test_a_fault_in_the_decisions_loses_nobody() -> None:
@@ -60,7 +60,7 @@
         engine.request(0, sess, ASK, None)
     out = engine.setup_answered(1000, "a", 0, 1, ev.Result.FULL, {}, {})
     assert [e.answer.kind for e in out if isinstance(e, fx.Reply)] == ["torn-down"]
-    assert (engine.held, engine.in_hand, engine.counts.faults) == (1, 1, 1)
+    assert (engine.sessions_held, engine.requests_in_hand, engine.counts.faults) == (1, 1, 1)
 
 
 class AnswersTwice(Faulty):
@@ -74,7 +74,9 @@
 def test_only_the_first_answer_goes_out() -> None:
     engine = engine_of(AnswersTwice())
     _, out = engine.request(0, "a", ASK, None)
-    assert [e.answer.kind for e in out if isinstance(e, fx.Reply)] == ["busy"] and engine.in_hand == 0
+    assert [e.answer.kind for e in out if isinstance(e, fx.Reply)] == [
+        "busy"
+    ] and engine.requests_in_hand == 0
 
 
 class AnswersThenSends(Faulty):
@@ -116,7 +118,7 @@
 ) -> None:
     site = loads(site_text())
     facts = site.facts_of(0, 1)
-    engine = Engine(Front(facts, 0), facts, Gate(site.limits, LagMeter(1 << 60)))
+    engine = Engine(Front(facts, 0), facts, AdmissionGate(site.limits, LagMeter(1 << 60)))
     rows = tuple(ev.ServerRow(n, 0, 0, n, ev.ServerState.READY, 2.0, 0) for n in range(3))
     answers: dict[str, str] = {}
     out: dict[str, tuple[int, int]] = {}
@@ -133,17 +135,17 @@
                 assert effect.sess not in answers, "answered twice"
                 answers[effect.sess] = effect.answer.kind
 
-    take(engine.news(0, ev.NewsScope.CACHED, rows))
+    take(engine.server_news(0, ev.NewsScope.CACHED, rows))
     for what, who, server, pause in steps:
         sess = f"s{who}"
         while (due := engine.next_due) is not None and due <= now + pause:
-            take(engine.due(due))
+            take(engine.run_due_timers(due))
         now += pause
         if what == "ask":
             sess, asked = f"s{asked}", asked + 1
             take(engine.request(now, sess, ASK, None)[1])
         elif what == "left":
-            take(engine.left(now, sess))
+            take(engine.viewer_left(now, sess))
         elif what == "lost":
             take(engine.server_lost(now, server))
         elif what != "wait" and sess in out:
@@ -151,5 +153,5 @@
             result = None if what == "started" else ev.Result(what)
             take(engine.setup_answered(now, sess, attempt, at, result, {}, {}))
     while (due := engine.next_due) is not None and due <= now + 3_000_000:
-        take(engine.due(due))
-    assert set(answers) == {f"s{n}" for n in range(asked)} and engine.in_hand == 0
+        take(engine.run_due_timers(due))
+    assert set(answers) == {f"s{n}" for n in range(asked)} and engine.requests_in_hand == 0
--- a/tests/front/test_reconnect.py
+++ b/tests/front/test_reconnect.py
@@ -7,7 +7,13 @@
 
 import pytest
 
-from ponddoor.front.reconnect import LEAST, MOVED, RETRY_PERIOD, Loss, ReconnectSchedule
+from ponddoor.front.reconnect import (
+    MIN_RETRY_INTERVAL_US,
+    REDIRECT_LIMIT_US,
+    RETRY_PERIOD_US,
+    Loss,
+    ReconnectSchedule,
+)
 from ponddoor.load.coming import InStep, outage
 from ponddoor.rehearse.sums import peak
 from ponddoor.standins.capacity import Capacity, Verdict
@@ -29,7 +35,7 @@
         "break": lambda front: front.lost(0, Loss.BROKEN),
         "silence": lambda front: front.lost(0, Loss.SILENT, 2_400_000),
     }
-    limits = {"start": GRACE, "moved": MOVED, "break": 2 * SECOND, "silence": 1_600_000}
+    limits = {"start": GRACE, "moved": REDIRECT_LIMIT_US, "break": 2 * SECOND, "silence": 1_600_000}
     moments = [begin[how](front) for front in fleet(fronts)]
     assert max(moments) <= limits[how] // 2  # a second try fits before what is told counts
     span = max(moments) - min(moments)
@@ -43,7 +49,7 @@
     minute = 60 * SECOND
     tries, back = outage(fleet(fronts), 5 * minute)
     late = [at for at in tries if at >= 60 * SECOND]
-    assert len(late) / 240 <= 1.01 * fronts * SECOND / RETRY_PERIOD
+    assert len(late) / 240 <= 1.01 * fronts * SECOND / RETRY_PERIOD_US
     assert peak(late, SECOND) <= 2 * len(late) / 240 and len(back) == fronts
 
 
@@ -87,8 +93,8 @@
     """News of a list that is back counts 4 s after it was lost: nobody waits longer for a try before."""
     for front in fleet(200):
         at, last = front.start(0), 0
-        while at < MOVED:
-            assert at - last <= MOVED // 3 + LEAST
+        while at < REDIRECT_LIMIT_US:
+            assert at - last <= REDIRECT_LIMIT_US // 3 + MIN_RETRY_INTERVAL_US
             last, at = at, front.lost(at, Loss.REFUSED)
 
 
@@ -99,7 +105,7 @@
         at = front.lost(at, Loss.LATE)
     assert front.tries == 12
     front.heard(at)
-    assert front.lost(at, Loss.BROKEN) - at <= 2 * SECOND // 3 + LEAST
+    assert front.lost(at, Loss.BROKEN) - at <= 2 * SECOND // 3 + MIN_RETRY_INTERVAL_US
 
 
 def test_who_is_told_when_to_come_back_comes_no_sooner_and_not_in_step() -> None:
--- a/tests/front/test_world.py
+++ b/tests/front/test_world.py
@@ -12,7 +12,7 @@
 import pytest
 
 from ponddoor.front.sealed import Seal
-from ponddoor.front.words import wall
+from ponddoor.front.words import wall_clock_us
 from ponddoor.settings.site import loads
 from ponddoor.standins.media import Fault
 from ponddoor.web.client import BrokenError, LateError, NotSentError, Pool
@@ -78,7 +78,7 @@
             media.fault(Fault("slow", size=40))
         with contextlib.suppress(LateError):
             await world.ask(timeout=0.15)
-        await world.until(lambda: world.fronts[0].engine.held == 0)
+        await world.until(lambda: world.fronts[0].engine.sessions_held == 0)
         await world.until(lambda: world.seen("teardown"))
         await world.until(lambda: not any(media.pending for media in world.media))
         assert not world.streams() and len(world.seen("setup")) == 1
@@ -101,7 +101,7 @@
         for media in world.media:
             media.fault(Fault("slow", size=3))
         staying = asyncio.create_task(world.ask(key="k"))
-        await world.until(lambda: world.fronts[0].engine.in_hand)
+        await world.until(lambda: world.fronts[0].engine.requests_in_hand)
         with contextlib.suppress(LateError):
             await world.ask(key="k", timeout=0.05)
         assert (await staying).status == 201
@@ -169,7 +169,7 @@
         sess = str((await world.ask()).json()["session"])
         media = next(m for m in world.media if m.streams)
         await media.close()
-        await world.until(lambda: world.fronts[0].engine.held == 0, 4)
+        await world.until(lambda: world.fronts[0].engine.sessions_held == 0, 4)
         assert (await world.call("GET", f"/sessions/{sess}")).json()["end"] == "lost"
 
     in_world(live)
@@ -180,7 +180,7 @@
         await world.ask()
         media = next(m for m in world.media if m.streams)
         media.fault(Fault("hang"))
-        await world.until(lambda: world.fronts[0].engine.held == 0, 5)
+        await world.until(lambda: world.fronts[0].engine.sessions_held == 0, 5)
         media.fault(Fault("hang", on=False))
         await world.until(lambda: not media.streams, 4)
         assert world.seen("ended", why="teardown") or world.seen("ended", why="front-gone")
@@ -196,7 +196,7 @@
         media.web.drop_all()
         await world.until(lambda: media.notes.get(0, old) is not old, 4)
         await world.until(lambda: world.fronts[0].servers.links[media.entry.server].up, 4)
-        assert world.fronts[0].engine.held == 1 and len(media.streams) == 1
+        assert world.fronts[0].engine.sessions_held == 1 and len(media.streams) == 1
 
     in_world(live)
 
@@ -206,7 +206,7 @@
         await world.ask()
         media = next(m for m in world.media if m.streams)
         media.begin_anew()
-        await world.until(lambda: world.fronts[0].engine.held == 0, 4)
+        await world.until(lambda: world.fronts[0].engine.sessions_held == 0, 4)
         await world.until(lambda: world.fronts[0].servers.links[media.entry.server].up)
 
     in_world(live)
@@ -269,7 +269,7 @@
             for media in world.media:
                 media.fault(Fault("hang"))
             answer = asyncio.create_task(raw(port, data))
-            await world.until(lambda: front.engine.in_hand)
+            await world.until(lambda: front.engine.requests_in_hand)
         elif how == "just sent":
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
             await world.until(lambda: front.web.open_connections)
@@ -433,9 +433,9 @@
         await world.ask(0)
         await world.until(lambda: second.decisions.fleet.counts.origins)  # type: ignore[attr-defined]
         target = world.site.fronts[1].words
-        forged = Seal(bytes(16), 0, 2, 10_000_000).seal(wall(), b"x")
+        forged = Seal(bytes(16), 0, 2, 10_000_000).seal(wall_clock_us(), b"x")
         good = Seal(world.site.words.key, 0, 2, 10_000_000).seal(
-            wall(), b"x"
+            wall_clock_us(), b"x"
         )  # the right key from a wrong address
         transport, _ = await asyncio.get_running_loop().create_datagram_endpoint(
             asyncio.DatagramProtocol, remote_addr=target
@@ -475,7 +475,7 @@
         assert not front.reload(file) and front.gate.limits.held == 1
         front.gate.limits = world.site.limits
         owed = asyncio.create_task(world.ask())
-        await world.until(lambda: front.engine.in_hand)
+        await world.until(lambda: front.engine.requests_in_hand)
         front.drain()
         assert (await world.ask()).json()["error"] == "draining"
         assert (await owed).status == 201
--- a/tests/node/conftest.py
+++ b/tests/node/conftest.py
@@ -292,8 +292,8 @@
     def state(self) -> dict[str, int]:
         node = self.node
         return {
-            "sessions": node.engine.held,
-            "in_hand": node.engine.in_hand,
+            "sessions": node.engine.sessions_held,
+            "in_hand": node.engine.requests_in_hand,
             "servers": len(node.servers.links),
             "viewers": len(node.viewers.connections),
             "listed": len(node.discovery.roster.entries),
--- a/tests/node/test_crossings.py
+++ b/tests/node/test_crossings.py
@@ -24,7 +24,7 @@
 import structlog
 
 from ponddoor.front import effects as fx
-from ponddoor.front.effects import Ask
+from ponddoor.front.effects import ViewerRequest
 from ponddoor.front.pump import Pump, clock
 from ponddoor.front.reconnect import ReconnectSchedule
 from ponddoor.interface import words
@@ -150,7 +150,7 @@
 
 
 def call_immediately(call: Callable[[], None]) -> None:
-    """A replacement for `once_read` that does not wait: the unguarded variant."""
+    """A replacement for `after_pending_reads` that does not wait: the unguarded variant."""
     call()
 
 
@@ -180,7 +180,7 @@
 
     With `connect_first` the node is connected to all servers before."""
     if unguarded:
-        harness.monkeypatch.setattr(node_server_link, "once_read", call_immediately)
+        harness.monkeypatch.setattr(node_server_link, "after_pending_reads", call_immediately)
 
     async def steps(harness: Harness) -> None:
         await start_node(harness)
@@ -244,7 +244,7 @@
 
     None is sent to peers or servers, and none counts as an arrival."""
     if unguarded:
-        harness.monkeypatch.setattr(node_viewers, "once_read", call_immediately)
+        harness.monkeypatch.setattr(node_viewers, "after_pending_reads", call_immediately)
     sent_kinds = list[int]()
 
     async def steps(harness: Harness) -> None:
@@ -345,7 +345,7 @@
         await harness.start()
         harness.node.servers.setups_enabled = unguarded
         await harness.step("b", "is-watched", "1")
-        while (held := harness.node.engine.find(session_id("1"))) is None or not held.out:
+        while (held := harness.node.engine.find(session_id("1"))) is None or not held.setup_pending:
             await asyncio.sleep(0)
         first_choice = held.server
         link = harness.node.servers.links[first_choice]
@@ -540,7 +540,7 @@
         while link.connection is not None:
             await asyncio.sleep(0)
         viewer.send(encode_message(12, "1", encode_parameter(143, b"\x1f")))
-        while harness.node.engine.held:
+        while harness.node.engine.sessions_held:
             await asyncio.sleep(0)
         checks = list[int]()
         call_before(harness.monkeypatch, harness.node, "_is_drained", lambda: checks.append(0))
@@ -1002,15 +1002,15 @@
         ticks = list[int]()
         call_before(harness.monkeypatch, node_servers.Servers, "tick", lambda *_: ticks.append(0))
         viewer.send(setup_request("1", at="s-00000001"))
-        while not harness.node.engine.held:
+        while not harness.node.engine.sessions_held:
             await asyncio.sleep(0)
         ticks_before = len(ticks)
         while len(ticks) < ticks_before + 3:
             await asyncio.sleep(0)
-        assert harness.node.engine.held
+        assert harness.node.engine.sessions_held
         may_connect.set()
         await harness.step("s1", "answers-heartbeats", "2")
-        assert harness.node.engine.held
+        assert harness.node.engine.sessions_held
 
     run_steps(harness, steps)
 
@@ -1186,17 +1186,17 @@
 
     async def run_pump() -> None:
         pump = Pump(engine, carry_out)
-        ask = Ask("t", 0, 0, 0, 3, 2, 50_000)
+        ask = ViewerRequest("t", 0, 0, 0, 3, 2, 50_000)
         pump.apply(lambda now: engine.request(now, "a", ask, None)[1])
-        pump.apply(lambda now: [fx.Say("info", "after", "")])
-        while engine.held:  # ends with the setup timeout, which shows that the timer was set
+        pump.apply(lambda now: [fx.WriteLog("info", "after", "")])
+        while engine.sessions_held:  # ends with the setup timeout, which shows that the timer was set
             await asyncio.sleep(0.005)
         with pytest.raises(KeyError):
-            pump.apply(lambda now: [fx.Say("info", "never"), *no_effects["no"]])
-        pump.apply(lambda now: [fx.Say("info", "still", "")])
+            pump.apply(lambda now: [fx.WriteLog("info", "never"), *no_effects["no"]])
+        pump.apply(lambda now: [fx.WriteLog("info", "still", "")])
         pump.close()
 
     with structlog.testing.capture_logs() as logs:
         asyncio.run(within(STEP_TIMEOUT_S, run_pump()))
-    assert carried_out.count("Say") >= 2 and "Reply" in carried_out
+    assert carried_out.count("WriteLog") >= 2 and "Reply" in carried_out
     assert [row["event"] for row in logs if row["event"] == "effect-failed"] and engine.counts.faults >= 1
--- a/tests/node/test_work_per_turn.py
+++ b/tests/node/test_work_per_turn.py
@@ -6,9 +6,9 @@
 
 import pytest
 
-from ponddoor.front.effects import Ask
+from ponddoor.front.effects import ViewerRequest
 from ponddoor.front.engine import Engine
-from ponddoor.front.limits import Gate, LagMeter
+from ponddoor.front.limits import AdmissionGate, LagMeter
 from ponddoor.front.pump import Pump, clock
 from ponddoor.front.roster import Entry, ListMessage, Roster
 from ponddoor.node.servers import MAX_NEEDED_OVER_LIMIT, MAX_SESSIONS_ENDED_PER_TURN, Servers
@@ -28,7 +28,9 @@
     def __init__(self, servers: int) -> None:
         driven = DrivenFront(facts(servers), servers)
         self.roster = Roster(("north",), ("box",), driven.site.plant.cells, 0)
-        engine = Engine(driven.front, driven.site, Gate(loads(site_text()).limits, LagMeter(1 << 60)))
+        engine = Engine(
+            driven.front, driven.site, AdmissionGate(loads(site_text()).limits, LagMeter(1 << 60))
+        )
         pump = Pump(engine, lambda effect: None)
         self.servers = Servers(engine, pump.apply, ("g",), SECOND // 4)
         self.entries = [entry(number, driven.site.plant.cells) for number in range(1, servers + 1)]
@@ -64,19 +66,19 @@
             server = 1 + number % 200
             server_side.servers.apply(
                 lambda now, number=number, server=server: engine.handed_over(  # type: ignore[misc]
-                    now, f"{number:016x}", Ask("t", 0, 0, 0, 8, 9, 3 * SECOND), server
+                    now, f"{number:016x}", ViewerRequest("t", 0, 0, 0, 8, 9, 3 * SECOND), server
                 )
             )
             server_side.servers.mark_used(server_side.servers.links[server])
         for elapsed in range(0, SILENT_LIMIT + SECOND // 4, SECOND // 4):
             server_side.servers.tick(started_at + elapsed, 60 * SECOND)
-        assert engine.held == sessions
+        assert engine.sessions_held == sessions
         server_side.servers.tick(started_at + SILENT_LIMIT + SECOND // 2, 60 * SECOND)
-        assert engine.held >= sessions - MAX_SESSIONS_ENDED_PER_TURN
-        while engine.held:
-            held_before = engine.held
+        assert engine.sessions_held >= sessions - MAX_SESSIONS_ENDED_PER_TURN
+        while engine.sessions_held:
+            held_before = engine.sessions_held
             await asyncio.sleep(0)
-            assert held_before - MAX_SESSIONS_ENDED_PER_TURN <= engine.held < held_before
+            assert held_before - MAX_SESSIONS_ENDED_PER_TURN <= engine.sessions_held < held_before
         for link in server_side.servers.links.values():
             link.close()
 
