--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -134,7 +134,9 @@
     def given(self, kind: str, *tokens: str) -> None:
         """`given site FIELD=VALUE ...`, `given group|tenant FIELD=VALUE ...`, `given server NUMBER
         FIELD=VALUE ...`, `given silent FRONT ...`."""
-        options = {key: parse_value(value) for key, value in (t.split("=") for t in tokens if "=" in t)}
+        options = {
+            key: parse_value(value) for key, value in (token.split("=") for token in tokens if "=" in token)
+        }
         if kind == "group":
             self.groups.append(replace(GROUP, **options))
         elif kind == "silent":
@@ -208,8 +210,10 @@
     def at(self, time: str, kind: str = "", *tokens: str) -> None:
         """Let time pass and timers expire, then pass one event to the front. Clears `seen` first, unless a
         `+` stands before the time."""
-        until, arguments = parse_value(time.lstrip("+")), [t for t in tokens if "=" not in t]
-        options = {key: parse_value(value) for key, value in (t.split("=") for t in tokens if "=" in t)}
+        until, arguments = parse_value(time.lstrip("+")), [token for token in tokens if "=" not in token]
+        options = {
+            key: parse_value(value) for key, value in (token.split("=") for token in tokens if "=" in token)
+        }
         self.seen = self.seen if time.startswith("+") else []
         while timer := min((t for t in self.timers if t[0] <= until), default=None):
             self.timers.remove(timer)
