--- a/ponddoor/fleet/explore.py
+++ b/ponddoor/fleet/explore.py
@@ -1,7 +1,9 @@
-"""All courses of a small case: an owner, a keeper, one lease, one crash of either, one lost message.
+"""Exhaustive exploration of a small case of share leases: a lender, a borrower, a crash of either, a lost
+message.
 
-Breadth first over every order in which time passes, questions and lendings arrive, a message is lost and a
-front crashes and is back at once. In no state is the owner's part with both."""
+Breadth-first search over every order in which time passes, lease requests and leases arrive, a message is
+lost, and a front crashes and restarts at once. In no state may both the lender and the borrower use the
+lender's share."""
 
 import copy
 from collections import deque
@@ -9,92 +11,102 @@
 
 from ponddoor.fleet.shares import Shares
 
-LEASE = 2
-TICKS = 6  # of which a lease takes two
+LEASE = 2  # ticks
+TICKS = 6
 GROUP = 0
-OWNER, KEEPER = 0, 1
+LENDER = 0
+BORROWER = 1
 
 
 @dataclass(slots=True)
 class State:
-    """One state of the small world. `flying`: (what, the keeper's life, number)."""
+    """A state of the model. `in_flight` has (message kind, incarnation of the borrower, request number)."""
 
-    owner: Shares
-    keeper: Shares
+    lender: Shares
+    borrower: Shares
     now: int = 0
-    incarnation: int = 1
-    flying: list[tuple[str, int, int]] = field(default_factory=list)
-    crashes: int = 1
+    incarnation: int = 1  # of the borrower
+    in_flight: list[tuple[str, int, int]] = field(default_factory=list)
+    crashes: int = 1  # that may still happen
     losses: int = 1
-    asked: int = 2
+    requests: int = 2
 
     def key(self) -> str:
-        """What tells two states apart."""
+        """Identifies the state."""
         lenders = [
-            (n, one.number, list(one.requested_at.items()), one.until)
-            for n, one in self.keeper._lenders.items()
+            (n, lender.number, list(lender.requested_at.items()), lender.until)
+            for n, lender in self.borrower._lenders.items()
         ]
-        owner = (self.owner._own_share_usable_at, self.owner._lent)
+        lender = (self.lender._own_share_usable_at, self.lender._lent)
         return repr(
             (
                 self.now,
                 self.incarnation,
-                owner,
+                lender,
                 lenders,
-                sorted(self.flying),
+                sorted(self.in_flight),
                 self.crashes,
                 self.losses,
-                self.asked,
+                self.requests,
             )
         )
 
 
 def steps(state: State, make: type[Shares]) -> list[State]:
-    """Every state that may come next."""
-    found: list[State] = []
+    """All successor states."""
+    successors: list[State] = []
 
-    def then() -> State:
-        found.append(copy.deepcopy(state))
-        return found[-1]
+    def add_copy() -> State:
+        successors.append(copy.deepcopy(state))
+        return successors[-1]
 
     if state.now < TICKS:
-        then().now += 1
-    if state.asked:
-        other = then()
-        other.asked -= 1
-        other.flying.append(("question", other.incarnation, other.keeper.lease_request(other.now, OWNER)))
-    for at, (what, life, number) in enumerate(state.flying):
-        other = then()
-        del other.flying[at]
-        if what == "question" and other.owner.may_lend(other.now, GROUP, KEEPER, life):
-            other.owner.lend(other.now, (GROUP,), KEEPER, life)
-            other.flying.append(("lending", life, number))
-        elif what == "lending":
-            other.keeper.accept_lease(other.now, OWNER, life == other.incarnation, number, (GROUP,))
+        add_copy().now += 1
+    if state.requests:
+        successor = add_copy()
+        successor.requests -= 1
+        successor.in_flight.append(
+            ("question", successor.incarnation, successor.borrower.lease_request(successor.now, LENDER))
+        )
+    for index, (kind, incarnation, number) in enumerate(state.in_flight):
+        successor = add_copy()
+        del successor.in_flight[index]
+        if kind == "question" and successor.lender.may_lend(successor.now, GROUP, BORROWER, incarnation):
+            successor.lender.lend(successor.now, (GROUP,), BORROWER, incarnation)
+            successor.in_flight.append(("lending", incarnation, number))
+        elif kind == "lending":
+            successor.borrower.accept_lease(
+                successor.now, LENDER, incarnation == successor.incarnation, number, (GROUP,)
+            )
         if state.losses:
-            other = then()
-            other.losses -= 1
-            del other.flying[at]
+            successor = add_copy()
+            successor.losses -= 1
+            del successor.in_flight[index]
     if state.crashes:
-        other = then()
-        other.crashes -= 1
-        other.owner = make(2, other.now, LEASE, 0.0)
-        other = then()
-        other.crashes -= 1
-        other.keeper, other.incarnation = make(2, other.now, LEASE, 0.0), other.incarnation + 1
-    return found
+        successor = add_copy()
+        successor.crashes -= 1
+        successor.lender = make(2, successor.now, LEASE, 0.0)
+        successor = add_copy()
+        successor.crashes -= 1
+        successor.borrower, successor.incarnation = (
+            make(2, successor.now, LEASE, 0.0),
+            successor.incarnation + 1,
+        )
+    return successors
 
 
 def explore_all(make: type[Shares] = Shares) -> tuple[int, str]:
-    """How many states there are, and what is wrong in the first that breaks the bound."""
+    """Returns how many states were visited, and the first violation found; an empty text if there is none."""
     first = State(make(2, -LEASE - 1, LEASE, 0.0), make(2, -LEASE - 1, LEASE, 0.0))
-    seen, todo = {first.key()}, deque([first])
-    while todo:
-        state = todo.popleft()
-        if state.owner.may_use_own(state.now, GROUP) and OWNER in state.keeper.lenders_of(state.now, GROUP):
-            return len(seen), f"the part is with both: {state.key()}"
-        for other in steps(state, make):
-            if (key := other.key()) not in seen:
+    seen, queue = {first.key()}, deque([first])
+    while queue:
+        state = queue.popleft()
+        if state.lender.may_use_own(state.now, GROUP) and LENDER in state.borrower.lenders_of(
+            state.now, GROUP
+        ):
+            return len(seen), f"lender and borrower may both use the lender's share: {state.key()}"
+        for successor in steps(state, make):
+            if (key := successor.key()) not in seen:
                 seen.add(key)
-                todo.append(other)
+                queue.append(successor)
     return len(seen), ""
--- a/ponddoor/fleet/mutants.py
+++ b/ponddoor/fleet/mutants.py
@@ -1,5 +1,5 @@
-"""The cores with one guard taken out each, and schedules where it matters: the simulation must find every one
-(tests, `ponddoor fleet mutants`)."""
+"""Variants of the fleet's classes that each lack one guard, with schedules in which that guard matters: the
+simulation must find every one (tests, `ponddoor fleet mutants`)."""
 
 from collections.abc import Iterable
 from dataclasses import replace
@@ -14,22 +14,24 @@
 from ponddoor.interface.facts import SiteFacts
 
 
-class Unfenced(Shares):
-    """A keeper that takes what was lent to an earlier life of its own."""
+class UnfencedShares(Shares):
+    """A borrower accepts what was lent to its earlier incarnation."""
 
-    def accept_lease(self, now: int, front: int, ours: bool, number: int, groups: tuple[int, ...]) -> bool:
+    def accept_lease(
+        self, now: int, front: int, is_current: bool, number: int, groups: tuple[int, ...]
+    ) -> bool:
         return super().accept_lease(now, front, True, number, groups)
 
 
-class Endless(Shares):
-    """A lease that runs on at the keeper."""
+class UnexpiringShares(Shares):
+    """The lease lasts far longer at the borrower than at the lender."""
 
     def _borrower_lease(self) -> int:
         return 4 * self.lease
 
 
-class Marginless(Shares):
-    """Leases without the margin for drift."""
+class MarginlessShares(Shares):
+    """Leases have no margin for clock drift."""
 
     def _lender_lease(self) -> int:
         return self.lease
@@ -38,78 +40,83 @@
         return self.lease
 
 
-class Twice(Shares):
-    """A part is lent to whoever is asked next."""
+class TwiceLentShares(Shares):
+    """A share is lent to any borrower, also while it is lent to another."""
 
-    def may_lend(self, now: int, group: int, keeper: int, life: int) -> bool:
+    def may_lend(self, now: int, group: int, borrower: int, incarnation: int) -> bool:
         return True
 
 
-class Hasty(Shares):
-    """Who has just begun uses its part at once, whatever its earlier life has lent."""
+class NoStartDelayShares(Shares):
+    """A front uses its share right after its start, although its earlier incarnation may have lent it."""
 
     def may_use_own(self, now: int, group: int) -> bool:
         self._own_share_usable_at = now
         return super().may_use_own(now, group)
 
 
-class Greedy(Shares):
-    """A front uses its own part, lent or not."""
+class LentUseShares(Shares):
+    """A front uses its own share even while it is lent."""
 
     def may_use_own(self, now: int, group: int) -> bool:
         return now >= self._own_share_usable_at
 
 
-class Lifeless(Counts):
-    """Words of an earlier life count like any other."""
+class AnyIncarnationCounts(Counts):
+    """Updates of an earlier incarnation are applied like any other."""
 
     def update(
         self,
         now: int,
         front: int,
-        life: int,
+        incarnation: int,
         stamp: int,
-        whole: bool,
+        full: bool,
         rows: Iterable[tuple[int, float, bool]],
     ) -> set[int]:
-        held = self.origins.get(front)
+        origin = self.origins.get(front)
         return super().update(
-            now, front, life if held is None else max(life, held.incarnation), stamp, whole, rows
+            now,
+            front,
+            incarnation if origin is None else max(incarnation, origin.incarnation),
+            stamp,
+            full,
+            rows,
         )
 
 
-class Stampless(Counts):
-    """The last word to come counts, in whatever order it was said."""
+class AnyStampCounts(Counts):
+    """The update that arrives last wins, in whatever order they were sent."""
 
     def update(
         self,
         now: int,
         front: int,
-        life: int,
+        incarnation: int,
         stamp: int,
-        whole: bool,
+        full: bool,
         rows: Iterable[tuple[int, float, bool]],
     ) -> set[int]:
-        held = self.origins.get(front)
-        if held is not None and held.incarnation == life:
+        origin = self.origins.get(front)
+        if origin is not None and origin.incarnation == incarnation:
             for key, _, _ in list(rows):
-                if key in held.cells:
-                    held.cells[key].stamp = min(held.cells[key].stamp, stamp - 1)
-        return super().update(now, front, life, stamp, whole, rows)
+                if key in origin.cells:
+                    origin.cells[key].stamp = min(origin.cells[key].stamp, stamp - 1)
+        return super().update(now, front, incarnation, stamp, full, rows)
 
 
-class Forgetful(Presence):
-    """Words of an earlier life are heard like any other."""
+class AnyIncarnationPresence(Presence):
+    """Messages of an earlier incarnation are accepted like any other."""
 
-    def accept_message(self, now: int, front: int, life: int) -> bool:
+    def accept_message(self, now: int, front: int, incarnation: int) -> bool:
         member = self.members.get(front)
         return super().accept_message(
-            now, front, max(life, member.incarnation) if member is not None else life
+            now, front, max(incarnation, member.incarnation) if member is not None else incarnation
         )
 
 
-class _With(Fleet):
-    """A fleet with another kind of a core."""
+class _FleetWith(Fleet):
+    """A Fleet with other classes for its parts."""
 
     shares_kind: type[Shares] = Shares
     counts_kind: type[Counts] = Counts
@@ -122,53 +129,58 @@
         self.shares = self.shares_kind(facts.fronts, now, terms.lease, self.drift)
         self.counts = self.counts_kind()
         self.evidence = self.evidence_kind(terms.evidence_ttl)
-        life, seed = self.presence.incarnation, facts.seed
-        self.presence = self.presence_kind(facts.me, facts.fronts, life, now, terms.timing, seed)
+        incarnation, seed = self.presence.incarnation, facts.seed
+        self.presence = self.presence_kind(facts.me, facts.fronts, incarnation, now, terms.timing, seed)
 
 
-class ManyVoices(Evidence):
-    """Each word is a voice of its own, whoever says it."""
+class RepeatCountingEvidence(Evidence):
+    """Each report counts as one of a further witness, also of the same front."""
 
-    def record(self, now: int, witness: int, life: int, stamp: int, server: int, seen: Observation) -> bool:
-        return super().record(now, witness * 100_000 + stamp, life, stamp, server, seen)
+    def record(
+        self, now: int, witness: int, incarnation: int, stamp: int, server: int, observation: Observation
+    ) -> bool:
+        return super().record(now, witness * 100_000 + stamp, incarnation, stamp, server, observation)
 
 
-def _made(**kinds: Any) -> type[Fleet]:
-    return type("_Made", (_With,), kinds)
+def _fleet_with(**kinds: Any) -> type[Fleet]:
+    return type("_Made", (_FleetWith,), kinds)
 
 
 def restarting(seed: int) -> Schedule:
-    """Fronts that crash often, and words that arrive long after they were sent."""
+    """Fronts crash often, and messages arrive long after they were sent."""
     return replace(drawn(seed), crashes=20, slow=0.3, double=0.3, loss=0.0, cuts=0, fronts=5, late=2_000_000,
-                   walls=0.0, rogues=0, down=300_000)  # fmt: skip
+                   wall_steps=0.0, rogues=0, max_downtime=300_000)  # fmt: skip
 
 
 def drifting(seed: int) -> Schedule:
-    """Clocks that drift far, as far as the margin then allows, and keepers that are asked in turn."""
+    """Clocks drift by as much as a wide margin allows, and the queries move between owners."""
     return replace(
         drawn(seed), drift=0.2, loss=0.0, slow=0.0, crashes=0, pauses=0, cuts=6, fronts=5, rogues=0
     )
 
 
-def lying(seed: int) -> Schedule:
-    """One front talks nonsense."""
+def with_rogue(seed: int) -> Schedule:
+    """One front sends invalid messages."""
     return replace(drawn(seed), rogues=1, fronts=5, loss=0.0)
 
 
-def cut_up(seed: int) -> Schedule:
-    """Many cuts: keepers are asked in turn."""
+def partitioned(seed: int) -> Schedule:
+    """Many partitions, so that the queries move between owners."""
     return replace(drawn(seed), cuts=6, crashes=0, pauses=0, fronts=5, seconds=20)
 
 
-WIDE = _made(drift=0.2)  # with its margin as wide as `drifting` needs it
+WIDE_MARGIN = _fleet_with(drift=0.2)  # no guard is missing; the margin fits `drifting`
 MUTANTS: dict[str, tuple[type[Fleet], Any]] = {
-    "the fence": (_made(shares_kind=Unfenced), restarting),
-    "the expiry": (_made(shares_kind=Endless), cut_up),
-    "the drift margin": (_made(shares_kind=Marginless, drift=0.2), drifting),
-    "one holder of a part": (_made(shares_kind=Twice), cut_up),
-    "silence after a start": (_made(shares_kind=Hasty), restarting),
-    "the safe part": (_made(shares_kind=Greedy), drawn),
-    "the life": (_made(counts_kind=Lifeless, presence_kind=Forgetful), restarting),
-    "the stamp": (_made(counts_kind=Stampless), restarting),
-    "independence": (_made(evidence_kind=ManyVoices), lying),
+    "the fence": (_fleet_with(shares_kind=UnfencedShares), restarting),
+    "the expiry": (_fleet_with(shares_kind=UnexpiringShares), partitioned),
+    "the drift margin": (_fleet_with(shares_kind=MarginlessShares, drift=0.2), drifting),
+    "one holder of a part": (_fleet_with(shares_kind=TwiceLentShares), partitioned),
+    "silence after a start": (_fleet_with(shares_kind=NoStartDelayShares), restarting),
+    "the safe part": (_fleet_with(shares_kind=LentUseShares), drawn),
+    "the life": (
+        _fleet_with(counts_kind=AnyIncarnationCounts, presence_kind=AnyIncarnationPresence),
+        restarting,
+    ),
+    "the stamp": (_fleet_with(counts_kind=AnyStampCounts), restarting),
+    "independence": (_fleet_with(evidence_kind=RepeatCountingEvidence), with_rogue),
 }
