--- a/tests/node/test_work_per_turn.py
+++ b/tests/node/test_work_per_turn.py
@@ -6,16 +6,16 @@
 
 import pytest
 
-from ponddoor.front.effects import Ask
+from ponddoor.front.effects import ViewerRequest
 from ponddoor.front.engine import Engine
-from ponddoor.front.limits import Gate, LagMeter
+from ponddoor.front.limits import AdmissionGate, LagMeter
 from ponddoor.front.pump import Pump, clock
 from ponddoor.front.roster import Entry, ListMessage, Roster
 from ponddoor.node.servers import MAX_NEEDED_OVER_LIMIT, MAX_SESSIONS_ENDED_PER_TURN, Servers
 from ponddoor.obligations.lease import SILENT_LIMIT
 from ponddoor.settings.site import loads
 from tests.front.conftest import site_text
-from tests.many_servers.fleet import SECOND, DrivenFront, facts, steps_of
+from tests.many_servers.harness import SECOND, FrontHarness, lines_run_by, make_facts
 
 SERVER_COUNTS = (200, 3200, 12_800)
 MAX_GROWTH = 1.5
@@ -26,9 +26,11 @@
     """The server list and the links of a node, without sockets."""
 
     def __init__(self, servers: int) -> None:
-        driven = DrivenFront(facts(servers), servers)
+        driven = FrontHarness(make_facts(servers), servers)
         self.roster = Roster(("north",), ("box",), driven.site.plant.cells, 0)
-        engine = Engine(driven.front, driven.site, Gate(loads(site_text()).limits, LagMeter(1 << 60)))
+        engine = Engine(
+            driven.front, driven.site, AdmissionGate(loads(site_text()).limits, LagMeter(1 << 60))
+        )
         pump = Pump(engine, lambda effect: None)
         self.servers = Servers(engine, pump.apply, ("g",), SECOND // 4)
         self.entries = [entry(number, driven.site.plant.cells) for number in range(1, servers + 1)]
@@ -64,19 +66,19 @@
             server = 1 + number % 200
             server_side.servers.apply(
                 lambda now, number=number, server=server: engine.handed_over(  # type: ignore[misc]
-                    now, f"{number:016x}", Ask("t", 0, 0, 0, 8, 9, 3 * SECOND), server
+                    now, f"{number:016x}", ViewerRequest("t", 0, 0, 0, 8, 9, 3 * SECOND), server
                 )
             )
             server_side.servers.mark_used(server_side.servers.links[server])
         for elapsed in range(0, SILENT_LIMIT + SECOND // 4, SECOND // 4):
             server_side.servers.tick(started_at + elapsed, 60 * SECOND)
-        assert engine.held == sessions
+        assert engine.sessions_held == sessions
         server_side.servers.tick(started_at + SILENT_LIMIT + SECOND // 2, 60 * SECOND)
-        assert engine.held >= sessions - MAX_SESSIONS_ENDED_PER_TURN
-        while engine.held:
-            held_before = engine.held
+        assert engine.sessions_held >= sessions - MAX_SESSIONS_ENDED_PER_TURN
+        while engine.sessions_held:
+            held_before = engine.sessions_held
             await asyncio.sleep(0)
-            assert held_before - MAX_SESSIONS_ENDED_PER_TURN <= engine.held < held_before
+            assert held_before - MAX_SESSIONS_ENDED_PER_TURN <= engine.sessions_held < held_before
         for link in server_side.servers.links.values():
             link.close()
 
@@ -86,22 +88,22 @@
 def list_change(server_side: ServerSide) -> int:
     """The steps of a list change in which CHANGED_ROWS servers start to drain."""
     changed = [entry(number, server_side.roster.cells, "draining") for number in range(1, CHANGED_ROWS + 1)]
-    return steps_of(lambda: server_side.update_list(changed, server_side.roster.version))
+    return lines_run_by(lambda: server_side.update_list(changed, server_side.roster.version))
 
 
 def tick(server_side: ServerSide) -> int:
     """The steps of the tick, which runs every quarter of a second."""
-    return steps_of(lambda: server_side.servers.tick(clock(), 20 * SECOND))
+    return lines_run_by(lambda: server_side.servers.tick(clock(), 20 * SECOND))
 
 
 def connect(server_side: ServerSide) -> int:
     """The steps of starting to connect to one server."""
-    return steps_of(server_side.servers.links[7].connect)
+    return lines_run_by(server_side.servers.links[7].connect)
 
 
 def enable_setups(server_side: ServerSide) -> int:
     """The steps of allowing SETUPs."""
-    return steps_of(server_side.servers.enable_setups)
+    return lines_run_by(server_side.servers.enable_setups)
 
 
 @pytest.mark.parametrize(
