--- a/ponddoor/front/acting.py
+++ b/ponddoor/front/acting.py
@@ -1,4 +1,6 @@
-"""Which mechanisms act, looked at from outside once a second: a line when one starts, one when it stops."""
+"""Logs which protective mechanisms of the decisions are active: a line when one starts and one when it stops.
+
+The front's process polls this once a second. Reading leaves the decisions as they were."""
 
 import contextlib
 from collections.abc import Iterator
@@ -10,29 +12,33 @@
 from ponddoor.fleet.presence import Connectivity, Presence
 from ponddoor.interface.events import ServerState
 
-MAX_LOG_LINES = 50  # of one look
+MAX_LOG_LINES = 50  # per poll
 log = structlog.get_logger("mechanisms")
 
 
 @contextlib.contextmanager
 def unchanged_decisions(front: Front, now: int) -> Iterator[None]:
-    """Guards against a look that changes what is decided: what reading moves is put back behind it."""
+    """A context in which the decisions may be read at `now`; afterwards their state is restored.
+
+    Reading refreshes caches and the clock; without this, polling would change later decisions."""
     fleet = front.fleet
-    kept = front.now, dict(fleet.synced_since), dict(fleet.synced_cache), front.mean_load_at, front.mean_load
+    saved = front.now, dict(fleet.synced_since), dict(fleet.synced_cache), front.mean_load_at, front.mean_load
     front.clock(now)
     try:
         yield
     finally:
-        now, fleet.synced_since, fleet.synced_cache, front.mean_load_at, front.mean_load = kept
+        now, fleet.synced_since, fleet.synced_cache, front.mean_load_at, front.mean_load = saved
         front.clock(now)
 
 
 def server_account(front: Front, now: int) -> list[tuple[str, int, int, int, int, float]]:
-    """What a front believes of each server that has not gone: its id, sessions held there, kB a second that
-    these ask, that all ask and that are idle, and for how many seconds it rests."""
+    """A front's view of each server that is not gone.
+
+    Per server: its id, the number of sessions held there, the kB per second demanded by these, demanded by
+    all and idle, and for how many seconds the front will still back off from it."""
     with unchanged_decisions(front, now):
-        rows = [s for s in front.servers.values() if s.row.state is not ServerState.GONE]
-        idle = front.idle_by_server(rows, 1.0)
+        servers = [s for s in front.servers.values() if s.row.state is not ServerState.GONE]
+        idle = front.idle_by_server(servers, 1.0)
         return [
             (
                 f"{s.row.server:08x}",
@@ -42,19 +48,19 @@
                 round(idle[s.row.server]),
                 max(front.setup_backoff_until(s) - now, 0) / 1e6,
             )
-            for s in rows
+            for s in servers
         ]
 
 
 @dataclass(slots=True)
 class DeadFronts:
-    """Whom a front took for dead when last looked, to tell from outside when that changes."""
+    """The fronts that a front's failure detector considered dead at the last poll, to detect changes."""
 
     version: int = -1
     dead: frozenset[int] = frozenset()
 
-    def look(self, presence: Presence) -> dict[int, bool]:
-        """Who is taken for dead, or for alive again, since the last look."""
+    def changes(self, presence: Presence) -> dict[int, bool]:
+        """The fronts declared dead (True) or alive again (False) since the last call."""
         if presence.version == self.version:
             return {}
         self.version, before, self.dead = presence.version, self.dead, frozenset(presence.dead_fronts())
@@ -63,54 +69,54 @@
 
 @dataclass(slots=True)
 class ActiveMechanisms:
-    """What acted when last looked: words such as `rest 17`."""
+    """The mechanisms that were active at the last poll: a name and mostly a number, such as `rest 17`."""
 
-    now_acting: set[str] = field(default_factory=set)
+    active: set[str] = field(default_factory=set)
 
-    def look(self, front: Front, now: int) -> None:
+    def log_changes(self, front: Front, now: int) -> None:
         with unchanged_decisions(front, now):
-            acting = self._acting(front, now)
-        said = [("acts", word) for word in sorted(acting - self.now_acting)]
-        said += [("stops", word) for word in sorted(self.now_acting - acting)]
-        for event, word in said[:MAX_LOG_LINES]:
-            self._say(front, now, event, word)
-        if len(said) > MAX_LOG_LINES:
-            log.info("mechanisms-more", count=len(said) - MAX_LOG_LINES)
-        self.now_acting = acting
-
-    def _acting(self, front: Front, now: int) -> set[str]:
-        acting = {f"keeper-given-up {keeper}" for keeper in front.fleet.silent_owners}
+            current = self._current(front, now)
+        changes = [("acts", mechanism) for mechanism in sorted(current - self.active)]
+        changes += [("stops", mechanism) for mechanism in sorted(self.active - current)]
+        for event, mechanism in changes[:MAX_LOG_LINES]:
+            self._log(front, now, event, mechanism)
+        if len(changes) > MAX_LOG_LINES:
+            log.info("mechanisms-more", count=len(changes) - MAX_LOG_LINES)
+        self.active = current
+
+    def _current(self, front: Front, now: int) -> set[str]:
+        active = {f"keeper-given-up {keeper}" for keeper in front.fleet.silent_owners}
         if front.fleet.gossip_enabled:
-            hears = front.fleet.presence.connectivity(now)
-            acting |= {f"hears-{hears.value}"} if hears is not Connectivity.FULL else set()
-            acting |= {f"keeps {group}" for group in front.fleet.groups if front.fleet.is_synced(group)}
-            acting |= {f"front-dead {one}" for one in front.fleet.presence.dead_fronts()}
+            connectivity = front.fleet.presence.connectivity(now)
+            active |= {f"hears-{connectivity.value}"} if connectivity is not Connectivity.FULL else set()
+            active |= {f"keeps {group}" for group in front.fleet.groups if front.fleet.is_synced(group)}
+            active |= {f"front-dead {member}" for member in front.fleet.presence.dead_fronts()}
         for number, server in front.servers.items():
             if server.row.state is ServerState.GONE:
                 continue
             if front.setup_backoff_until(server) > now:
-                acting.add(f"rest {number}")
+                active.add(f"rest {number}")
             if front.is_avoided(server):
-                acting.add(f"avoid {number}")
+                active.add(f"avoid {number}")
             if now - server.process_started_at() < front.facts.rules.cold or server.seen_down_at is not None:
-                acting.add(f"pace {number}")
-        return acting
+                active.add(f"pace {number}")
+        return active
 
-    def _say(self, front: Front, now: int, event: str, word: str) -> None:
-        name, _, server = word.partition(" ")
-        if name == "avoid":  # a judgement, with its evidence
-            view = front.fleet.evidence.summary(now, int(server), front.facts.me)
+    def _log(self, front: Front, now: int, event: str, mechanism: str) -> None:
+        name, _, number = mechanism.partition(" ")
+        if name == "avoid":  # logged with the evidence it rests on
+            view = front.fleet.evidence.summary(now, int(number), front.facts.me)
             log.info(
                 f"mechanism-{event}",
                 mechanism=name,
-                server=int(server),
+                server=int(number),
                 against=view.witnesses_against,
                 failed=view.failed,
                 tries=view.tries,
             )
         elif name in ("keeps", "front-dead", "keeper-given-up"):
-            log.info(f"mechanism-{event}", mechanism=name, number=int(server))
-        elif server:
-            log.info(f"mechanism-{event}", mechanism=name, server=int(server))
+            log.info(f"mechanism-{event}", mechanism=name, number=int(number))
+        elif number:
+            log.info(f"mechanism-{event}", mechanism=name, server=int(number))
         else:
             log.info(f"mechanism-{event}", mechanism=name)
--- a/ponddoor/front/effects.py
+++ b/ponddoor/front/effects.py
@@ -1,44 +1,51 @@
-"""What the engine wants done by the shells around it. Times are microseconds."""
+"""Effects: what the engine asks the I/O layer around it to carry out. Times are in microseconds."""
 
 from dataclasses import dataclass, field
 
 
 @dataclass(frozen=True, slots=True)
 class ViewerRequest:
-    """A viewer's request for a session, checked against the site. Two are equal where the viewer said the
-    same, whatever the site said of it meanwhile."""
+    """A viewer's request for a session, checked against the site.
+
+    Two requests are equal if the viewer sent the same; what the site in force added is not compared. The
+    title lies in `span` cells from the cell `home` on. `top` is the highest rung that the viewer can use,
+    `wait` the time in which it must be answered, `length` the expected length of the session. `moved` is set
+    if the viewer's session was ended by a move, `again` if the viewer says that it requested it before."""
 
     title: str
     service_group: int
     tenant: int
-    home: int = field(compare=False)  # by the version in force as it came, as are `span` and `top`
+    home: int = field(compare=False)  # from the site version in force when it came, like `span` and `top`
     span: int = field(compare=False)
     top: int = field(compare=False)
-    wait: int = field(compare=False)  # a repeat has less of it left
+    wait: int = field(compare=False)  # time left until an answer is due; a repeat has less of it
     length: int | None = None
     viewer: int = 0
     again: bool = False
     moved: bool = False
-    description: str = ""  # passed on to the server as it is
-    asked_top: int = 255  # the rung that the viewer named
+    description: str = ""  # passed on to the server unchanged
+    asked_top: int = 255  # the highest rung that the viewer asked for
 
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """The one final answer: `kind` is playing, busy, torn-down or left; `why` names a limit of the front,
-    `passed` is what the server gave for the viewer."""
+    """The only and final answer to a request.
+
+    `kind` is playing, busy, torn-down or left. `come_back` is the time after which a retry is welcome, 0 if
+    unknown. `reason` names a limit of the front or a fault. `viewer_text` is what the server passed on to the
+    viewer."""
 
     kind: str
     server: int = -1
     rung: int = 0
     come_back: int = 0
-    why: str = ""
-    passed: str = ""
+    reason: str = ""
+    viewer_text: str = ""
 
 
 @dataclass(frozen=True, slots=True)
 class SendSetup:
-    """ViewerRequest a server to start a session; the answer goes to `Engine.setup_answered`."""
+    """Send a SETUP to a server; the outcome goes to `Engine.setup_answered`."""
 
     sess: str
     attempt: int
@@ -50,7 +57,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendTeardown:
-    """End one attempt at a server, whether it still waits or plays; nothing comes back."""
+    """End one attempt at a server, whether it is pending or plays; the engine expects no answer."""
 
     sess: str
     attempt: int
@@ -59,7 +66,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendRung:
-    """Change the rung of a session that plays."""
+    """Change the rung of a playing session."""
 
     sess: str
     attempt: int
@@ -69,7 +76,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendProbe:
-    """ViewerRequest a server for its load; the answer goes to `Engine.probe_answered`."""
+    """Probe a server for its load; the answer goes to `Engine.probe_answered`."""
 
     server: int
 
@@ -83,7 +90,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendGossip:
-    """Send bytes to one other front, or to all."""
+    """Send a gossip message to one other front, or to all if `peer` is None."""
 
     peer: int | None
     payload: bytes
@@ -91,19 +98,19 @@
 
 @dataclass(frozen=True, slots=True)
 class WatchList:
-    """Subscribe to the server list, or end that."""
+    """Begin or end watching the server list."""
 
     active: bool
 
 
 @dataclass(frozen=True, slots=True)
 class FetchList:
-    """ViewerRequest once for the whole list."""
+    """Fetch the whole server list once."""
 
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """Answer whoever waits for a session."""
+    """Give the answer to the viewers that wait for a session."""
 
     sess: str
     answer: Answer
@@ -111,16 +118,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Push:
-    """Tell whoever follows a session: `what` is rung, ended or moved."""
+    """Notify those who follow a session's events: `kind` is rung, ended or moved."""
 
     sess: str
-    what: str
+    kind: str
     value: str | int = ""
 
 
 @dataclass(frozen=True, slots=True)
 class WriteLog:
-    """A line for the log."""
+    """Write a log line."""
 
     level: str
     event: str
--- a/ponddoor/front/engine.py
+++ b/ponddoor/front/engine.py
@@ -1,9 +1,10 @@
-"""One front without its sockets: feeds the decisions what happens and turns their actions into effects.
+"""One front without its sockets: feeds events to the decisions and turns the resulting actions into effects.
 
-Clock, ids and answers come in; effects (ponddoor.front.effects) go out. The engine decides nothing of a
-session: it keeps the timers, which attempt is out, which answer was given, and the repeats of requests.
+Clock, ids and answers are passed in; effects (ponddoor.front.effects) are returned. The engine makes no
+decision about a session: it keeps the timers, the pending attempt, the answer given and repeated requests.
 
-Every way in takes `now` in microseconds and returns the effects in order."""
+Every public method that handles something takes `now` in microseconds and returns the effects in the order in
+which they must be carried out."""
 
 import heapq
 import itertools
@@ -26,7 +27,7 @@
 
 
 class Phase(Enum):
-    """How far a session is."""
+    """The state of a session in the engine."""
 
     WAITING = "waiting"
     PLAYING = "playing"
@@ -35,8 +36,11 @@
 
 @dataclass(slots=True)
 class SessionRecord:
-    """A session as the engine knows it. `out` is the attempt that no outcome has come for. `group` and
-    `ladder` are those in force as it came: it keeps them to its end."""
+    """A session as the engine knows it.
+
+    `setup_pending` says whether `attempt` has no outcome yet. `group` and `ladder` are those in force when
+    the request came; the session keeps them until it ends. `repeat_key` is the tenant and the idempotency
+    key. Times are in microseconds."""
 
     sess: str
     req_id: int
@@ -56,18 +60,18 @@
 
     @property
     def standing_since(self) -> int:
-        """When it was set up; a session that was handed over, when that was."""
+        """When its SETUP was sent, or when it was handed over to this front; microseconds."""
         return self.setup_sent_at or self.requested_at
 
     @property
     def rate_kb(self) -> float:
-        """What its rung takes, kB a second."""
+        """The bandwidth of its rung, kB per second."""
         return self.ladder.rate_kb[self.rung] * self.group.rate_factor
 
 
 @dataclass(slots=True)
 class Counts:
-    """What the engine has seen, for metrics."""
+    """Counters for metrics and logs. `stray` counts SETUP outcomes that no pending attempt waited for."""
 
     answers: dict[str, int] = field(default_factory=dict)
     setups: dict[str, int] = field(default_factory=dict)
@@ -76,147 +80,156 @@
     decision_ns: int = 0
     events: int = 0
 
-    def add(self, table: dict[str, int], word: str) -> None:
-        table[word] = table.get(word, 0) + 1
+    def increment(self, table: dict[str, int], key: str) -> None:
+        table[key] = table.get(key, 0) + 1
 
 
 class RepeatError(Exception):
-    """A repeat key came with another request than before."""
+    """An idempotency key was used again with a different request."""
 
 
 class Engine:
-    """One front's sessions, timers and repeats around one instance of the decisions."""
+    """The sessions, timers and repeated requests of one front, around one instance of the decisions.
+
+    `on_event_handled` is called with the time, the event and the actions that the decisions returned."""
 
     def __init__(self, decisions: Decisions, facts: SiteFacts, gate: AdmissionGate) -> None:
         self.facts, self.gate, self.counts = facts, gate, Counts()
         self._driver = Driver(decisions)
-        self._held: dict[str, SessionRecord] = {}
-        self._by_req: dict[int, SessionRecord] = {}
-        self._at_server: dict[int, dict[str, SessionRecord]] = {}
+        self._sessions: dict[str, SessionRecord] = {}
+        self._by_req_id: dict[int, SessionRecord] = {}
+        self._playing_by_server: dict[int, dict[str, SessionRecord]] = {}
         self._repeats: dict[tuple[int, str], SessionRecord] = {}
         self._ended: dict[str, SessionRecord] = {}
-        self._timers: list[
-            tuple[int, int, str, int, int]
-        ] = []  # (at, order, kind, cookie or req id, attempt)
-        self._order = itertools.count()
-        self._req_ids = itertools.count(1)
+        # (due at, sequence number, kind, cookie or request id, attempt)
+        self._timers: list[tuple[int, int, str, int, int]] = []
+        self._timer_sequence = itertools.count()
+        self._next_req_id = itertools.count(1)
         self.requests_in_hand = 0
         self.on_event_handled: Callable[[int, ev.Event, list[act.Action]], None] | None = None
 
-    # What the shells may look at
+    # State that callers may read
 
     @property
     def sessions_held(self) -> int:
         """Sessions waiting or playing."""
-        return len(self._held)
+        return len(self._sessions)
 
     @property
     def next_due(self) -> int | None:
-        """When `run_due_timers` must be called next."""
+        """When `run_due_timers` must be called next; None without timers."""
         return self._timers[0][0] if self._timers else None
 
     @property
     def come_back(self) -> int:
-        """When a viewer that a limit turns away may come back (us); 0 where the site gives no such advice."""
-        allow = self.facts.permissions
-        return allow.max_come_back // 2 if allow.come_back else 0
+        """After how many us a viewer refused by a limit may retry; 0 if the site gives no such advice."""
+        permissions = self.facts.permissions
+        return permissions.max_come_back // 2 if permissions.come_back else 0
 
     def find(self, sess: str) -> SessionRecord | None:
-        return self._held.get(sess) or self._ended.get(sess)
+        return self._sessions.get(sess) or self._ended.get(sess)
 
     def find_repeat(self, tenant: int, repeat_key: str | None) -> SessionRecord | None:
-        """The session that a repeat of a request would find."""
+        """The session that was begun with this idempotency key, if any."""
         return None if repeat_key is None else self._repeats.get((tenant, repeat_key))
 
     def sessions_at(self, server: int) -> list[SessionRecord]:
-        return list(self._at_server.get(server, {}).values())
+        return list(self._playing_by_server.get(server, {}).values())
 
     def standing_since(self, server: int) -> int | None:
-        """When the session that has stood longest at a server was set up; None where none stands."""
-        for held in self._at_server.get(server, {}).values():
-            return held.standing_since
+        """The `standing_since` of the oldest session at a server; None without sessions there."""
+        for session in self._playing_by_server.get(server, {}).values():
+            return session.standing_since
         return None
 
     def has_sessions_at(self, server: int) -> bool:
-        """Whether a session plays at a server."""
-        return bool(self._at_server.get(server))
+        """Whether any session plays at a server."""
+        return bool(self._playing_by_server.get(server))
 
     def servers_in_use(self) -> list[int]:
-        """Servers at which sessions play."""
-        return [server for server, held in self._at_server.items() if held]
+        """The servers at which sessions play."""
+        return [server for server, sessions in self._playing_by_server.items() if sessions]
 
-    # What happens
+    # Events
 
     def update_facts(self, now: int, facts: SiteFacts) -> list[Effect]:
-        """Another version of the site is in force for who asks from here on."""
+        """Puts another version of the site in force for requests from now on."""
         self.facts = facts
-        return self._feed(now, ev.NewTerms(facts), None)
+        return self._handle_event(now, ev.NewTerms(facts), None)
 
     def request(
-        self, now: int, sess: str, ask: ViewerRequest, repeat_key: str | None, means: ev.Means | None = None
+        self,
+        now: int,
+        sess: str,
+        request: ViewerRequest,
+        repeat_key: str | None,
+        means: ev.Means | None = None,
     ) -> tuple[SessionRecord | None, list[Effect]]:
-        """A viewer asks. Returns the session, new or repeated, or None and a Reply that names the limit.
-
-        Raises RepeatError where the key was used for another request."""
-        repeat = (ask.tenant, repeat_key) if repeat_key is not None else None
-        if repeat is not None and (held := self._repeats.get(repeat)) is not None:
-            if held.request != ask:
-                raise RepeatError("the key was used with another request")
-            return held, []
+        """Starts a session for a viewer's request, or finds the one that its idempotency key began.
+
+        Returns the session; or None and a Reply that names the limit which was reached. Raises RepeatError if
+        the key was used for another request."""
+        full_key = (request.tenant, repeat_key) if repeat_key is not None else None
+        if full_key is not None and (session := self._repeats.get(full_key)) is not None:
+            if session.request != request:
+                raise RepeatError("the idempotency key was already used with a different request")
+            return session, []
         refusal = self.gate.refusal(
-            now, self.requests_in_hand, self.sessions_held, len(self._repeats) if repeat else -1
+            now, self.requests_in_hand, self.sessions_held, len(self._repeats) if full_key else -1
         )
         if refusal:
-            self.counts.add(self.counts.answers, f"limit {refusal}")
-            return None, [fx.Reply(sess, Answer("busy", come_back=self.come_back, why=refusal))]
-        group, ladder = self.facts.groups[ask.service_group], self.facts.ladder
-        held = SessionRecord(sess, next(self._req_ids), ask, now, repeat, group, ladder)
-        self._held[sess] = self._by_req[held.req_id] = held
-        if repeat is not None:
-            self._repeats[repeat] = held
+            self.counts.increment(self.counts.answers, f"limit {refusal}")
+            return None, [fx.Reply(sess, Answer("busy", come_back=self.come_back, reason=refusal))]
+        group, ladder = self.facts.groups[request.service_group], self.facts.ladder
+        session = SessionRecord(sess, next(self._next_req_id), request, now, full_key, group, ladder)
+        self._sessions[sess] = self._by_req_id[session.req_id] = session
+        if full_key is not None:
+            self._repeats[full_key] = session
         self.requests_in_hand += 1
-        return held, self._feed(now, self._request_event(held, means), held)
+        return session, self._handle_event(now, self._request_event(session, means), session)
 
-    def handed_over(self, now: int, sess: str, ask: ViewerRequest, server: int) -> list[Effect]:
-        """A session that plays already; one that is held already stays as it is."""
-        if sess in self._held or self.sessions_held >= self.gate.limits.held:
+    def handed_over(self, now: int, sess: str, request: ViewerRequest, server: int) -> list[Effect]:
+        """Takes over a session that already plays at a server. A session known here stays as it is."""
+        if sess in self._sessions or self.sessions_held >= self.gate.limits.held:
             return []
-        group, ladder = self.facts.groups[ask.service_group], self.facts.ladder
-        held = SessionRecord(
-            sess, next(self._req_ids), ask, now, None, group, ladder, Phase.PLAYING,
+        group, ladder = self.facts.groups[request.service_group], self.facts.ladder
+        session = SessionRecord(
+            sess, next(self._next_req_id), request, now, None, group, ladder, Phase.PLAYING,
             Answer("playing", server), 0, server,
         )  # fmt: skip
-        self._held[sess] = self._by_req[held.req_id] = held
-        self._at_server.setdefault(server, {})[sess] = held
-        return self._feed(now, ev.HandedOver(self._request_event(held, None), server), held)
+        self._sessions[sess] = self._by_req_id[session.req_id] = session
+        self._playing_by_server.setdefault(server, {})[sess] = session
+        return self._handle_event(now, ev.HandedOver(self._request_event(session, None), server), session)
 
     def viewer_left(self, now: int, sess: str) -> list[Effect]:
-        """The viewer is done: a waiting request is given up, a session that plays ends."""
-        held = self._held.get(sess)
-        if held is None:
+        """Handles the end by the viewer: cancels a waiting request or ends a playing session."""
+        session = self._sessions.get(sess)
+        if session is None:
             return []
-        if held.phase is Phase.PLAYING:
-            return [self._teardown(held), *self._end_playing(now, held, "over")]
-        return self._withdraw(now, held, Answer("left"))
-
-    def answer_now(self, now: int, sess: str, why: str) -> list[Effect]:
-        """A request can't wait any longer. It is refused where no SETUP of it has gone out, else failed."""
-        held = self._held.get(sess)
-        if held is None or held.phase is not Phase.WAITING:
+        if session.phase is Phase.PLAYING:
+            return [self._teardown_effect(session), *self._end_session(now, session, "over")]
+        return self._withdraw(now, session, Answer("left"))
+
+    def answer_now(self, now: int, sess: str, reason: str) -> list[Effect]:
+        """Answers a waiting request now: busy if no SETUP was sent for it, otherwise torn down."""
+        session = self._sessions.get(sess)
+        if session is None or session.phase is not Phase.WAITING:
             return []
-        if held.attempt < 0:
-            return self._withdraw(now, held, Answer("busy", come_back=self.come_back, why=why))
-        return self._withdraw(now, held, Answer("torn-down", why=why))
-
-    def _withdraw(self, now: int, held: SessionRecord, answer: Answer) -> list[Effect]:
-        """A waiting request ends with this answer; what is out of it is given up."""
-        out: list[Effect] = [self._teardown(held)] if held.setup_pending else []
-        was_out, held.setup_pending = held.setup_pending, False
-        out += self._answer(now, held, answer)
-        out += self._feed(now, ev.ViewerLeft(held.req_id), held)
-        if was_out:
-            out += self._feed(now, self._ended_event(now, held, ev.Result.CANCELLED, True), held)
-        return out
+        if session.attempt < 0:
+            return self._withdraw(now, session, Answer("busy", come_back=self.come_back, reason=reason))
+        return self._withdraw(now, session, Answer("torn-down", reason=reason))
+
+    def _withdraw(self, now: int, session: SessionRecord, answer: Answer) -> list[Effect]:
+        """Ends a waiting request with this answer and abandons its pending SETUP."""
+        effects: list[Effect] = [self._teardown_effect(session)] if session.setup_pending else []
+        was_pending, session.setup_pending = session.setup_pending, False
+        effects += self._answer(now, session, answer)
+        effects += self._handle_event(now, ev.ViewerLeft(session.req_id), session)
+        if was_pending:
+            effects += self._handle_event(
+                now, self._setup_ended_event(now, session, ev.Result.CANCELLED, True), session
+            )
+        return effects
 
     def setup_answered(
         self,
@@ -227,143 +240,157 @@
         result: ev.Result | None,
         report: dict[str, float],
         asked: dict[str, float],
-        passed: str = "",
+        viewer_text: str = "",
     ) -> list[Effect]:
-        """The outcome of a SETUP; `result` is None where the stream started; the viewer gets `passed`."""
-        held = self._held.get(sess)
-        if held is None or not held.setup_pending or held.attempt != attempt:
-            # Guards against answers after the timeout or the cancel, and against a second one: a stream that
-            # started all the same must not be left running, unless it is the one that plays.
-            plays = held is not None and held.phase is Phase.PLAYING and held.attempt == attempt
-            self.counts.add(self.counts.stray, "started" if result is None else result.value)
-            return [] if plays or result is not None else [fx.SendTeardown(sess, attempt, server)]
-        held.setup_pending = False
-        self.counts.add(self.counts.setups, "started" if result is None else result.value)
+        """Handles the outcome of a SETUP.
+
+        `result` is None if the stream started; then the viewer is given `viewer_text`."""
+        session = self._sessions.get(sess)
+        if session is None or not session.setup_pending or session.attempt != attempt:
+            # The outcome came after the timeout or the cancel, or a second time. A stream that started anyway
+            # must not be left running, unless it is the one that plays.
+            is_playing_attempt = (
+                session is not None and session.phase is Phase.PLAYING and session.attempt == attempt
+            )
+            self.counts.increment(self.counts.stray, "started" if result is None else result.value)
+            return (
+                [] if is_playing_attempt or result is not None else [fx.SendTeardown(sess, attempt, server)]
+            )
+        session.setup_pending = False
+        self.counts.increment(self.counts.setups, "started" if result is None else result.value)
         if result is not None:
-            out: list[Effect] = [self._teardown(held)] if result is ev.Result.RESET else []
-            return out + self._feed(now, self._ended_event(now, held, result, False, report), held)
-        held.phase = Phase.PLAYING
-        self._at_server.setdefault(held.server, {})[sess] = held
-        out = self._answer(now, held, Answer("playing", held.server, held.rung, passed=passed))
-        lag = now - held.setup_sent_at
-        out += self._feed(now, ev.Started(held.req_id, held.attempt, held.server, lag), held)
+            effects: list[Effect] = [self._teardown_effect(session)] if result is ev.Result.RESET else []
+            return effects + self._handle_event(
+                now, self._setup_ended_event(now, session, result, False, report), session
+            )
+        session.phase = Phase.PLAYING
+        self._playing_by_server.setdefault(session.server, {})[sess] = session
+        effects = self._answer(
+            now, session, Answer("playing", session.server, session.rung, viewer_text=viewer_text)
+        )
+        lag = now - session.setup_sent_at
+        effects += self._handle_event(
+            now, ev.Started(session.req_id, session.attempt, session.server, lag), session
+        )
         for name, kind in (("link", ev.NoteKind.LINK_ASKED), ("uplink", ev.NoteKind.UPLINK_ASKED)):
-            if name in asked and held.phase is Phase.PLAYING:
-                out += self._feed(now, ev.Note(held.req_id, kind, asked[name], held.server), held)
-        return out
-
-    def stream_ended(self, now: int, sess: str, attempt: int, why: str) -> list[Effect]:
-        """A server says that a stream has ended: over, viewer-gone or lost."""
-        held = self._held.get(sess)
-        if held is None or held.phase is not Phase.PLAYING or held.attempt != attempt:
+            if name in asked and session.phase is Phase.PLAYING:
+                effects += self._handle_event(
+                    now, ev.Note(session.req_id, kind, asked[name], session.server), session
+                )
+        return effects
+
+    def stream_ended(self, now: int, sess: str, attempt: int, reason: str) -> list[Effect]:
+        """Ends the session of a stream that its server reports as ended: over, viewer-gone or lost."""
+        session = self._sessions.get(sess)
+        if session is None or session.phase is not Phase.PLAYING or session.attempt != attempt:
             return []
-        return self._end_playing(now, held, why if why in END_RESULTS else "lost")
+        return self._end_session(now, session, reason if reason in END_RESULTS else "lost")
 
     def server_lost(
-        self, now: int, server: int, still: frozenset[tuple[str, int]] = frozenset()
+        self, now: int, server: int, still_running: frozenset[tuple[str, int]] = frozenset()
     ) -> list[Effect]:
-        """A server is gone, or has forgotten all streams but `still`: sessions there are over."""
-        out: list[Effect] = []
-        for held in self.sessions_at(server):
-            if (held.sess, held.attempt) not in still:
-                out += self._end_playing(now, held, "lost")
-        return out
+        """Ends the sessions at a server that is gone, or that has lost all streams except `still_running`."""
+        effects: list[Effect] = []
+        for session in self.sessions_at(server):
+            if (session.sess, session.attempt) not in still_running:
+                effects += self._end_session(now, session, "lost")
+        return effects
 
     def server_note(self, now: int, server: int, kind: ev.NoteKind, value: float) -> list[Effect]:
-        """A server's note, taken as one on a session of ours there; without one it tells nothing."""
-        for held in self._at_server.get(server, {}).values():
-            return self._feed(now, ev.Note(held.req_id, kind, value, server), held)
+        """Passes on a server's note as a note on one of its sessions; dropped if it has none."""
+        for session in self._playing_by_server.get(server, {}).values():
+            return self._handle_event(now, ev.Note(session.req_id, kind, value, server), session)
         return []
 
     def session_note(self, now: int, sess: str, kind: ev.NoteKind, value: float) -> list[Effect]:
-        """A server's note on one session; of one that does not play it says nothing any more."""
-        held = self._held.get(sess)
-        if held is None or held.phase is not Phase.PLAYING:
+        """Passes on a server's note on one session, if that session plays."""
+        session = self._sessions.get(sess)
+        if session is None or session.phase is not Phase.PLAYING:
             return []
         if kind is ev.NoteKind.RUNG:
-            held.rung = round(value)
-        return self._feed(now, ev.Note(held.req_id, kind, value, held.server), held)
+            session.rung = round(value)
+        return self._handle_event(now, ev.Note(session.req_id, kind, value, session.server), session)
 
     def player_hint(self, now: int, sess: str, means: ev.Means) -> list[Effect]:
-        """What a player that plays can take; of one that does not it says nothing any more."""
-        held = self._held.get(sess)
-        if held is None or held.phase is not Phase.PLAYING:
+        """Passes on what a player can take, if its session plays."""
+        session = self._sessions.get(sess)
+        if session is None or session.phase is not Phase.PLAYING:
             return []
-        return self._feed(now, ev.PlayerHint(held.req_id, means), held)
+        return self._handle_event(now, ev.PlayerHint(session.req_id, means), session)
 
     def server_hint(self, now: int, hint: ev.ServerHint) -> list[Effect]:
-        return self._feed(now, hint, None)
+        return self._handle_event(now, hint, None)
 
     def probe_answered(
         self, now: int, server: int, lag: int, result: ev.Result, report: dict[str, float]
     ) -> list[Effect]:
-        return self._feed(now, ev.Probed(server, lag, result, report), None)
+        return self._handle_event(now, ev.Probed(server, lag, result, report), None)
 
     def server_news(self, now: int, scope: ev.NewsScope, rows: tuple[ev.ServerRow, ...]) -> list[Effect]:
-        return self._feed(now, ev.ServerNews(scope, rows), None)
+        return self._handle_event(now, ev.ServerNews(scope, rows), None)
 
     def peer_message(self, now: int, peer: int, payload: bytes) -> list[Effect]:
-        return self._feed(now, ev.PeerMessage(peer, payload), None)
+        return self._handle_event(now, ev.PeerMessage(peer, payload), None)
 
     def run_due_timers(self, now: int) -> list[Effect]:
-        """Carry out every timer up to `now`, in order."""
-        out: list[Effect] = []
+        """Runs every timer that is due at `now`, in order."""
+        effects: list[Effect] = []
         while self._timers and self._timers[0][0] <= now:
             _, _, kind, number, attempt = heapq.heappop(self._timers)
             if kind == "cookie":
-                out += self._feed(now, ev.TimerDue(number), None)
+                effects += self._handle_event(now, ev.TimerDue(number), None)
             elif kind == "setup":
-                out += self._setup_late(now, self._by_req.get(number), attempt)
+                effects += self._setup_timed_out(now, self._by_req_id.get(number), attempt)
             else:
                 self._forget(number)
-        return out
+        return effects
 
     def stop(self, now: int) -> list[Effect]:
-        """The front ends: every session is torn down, every waiting request answered."""
-        out: list[Effect] = []
-        for held in list(self._held.values()):
-            if held.phase is Phase.PLAYING:
-                out += [self._teardown(held), *self._end_playing(now, held, "lost")]
+        """Tears down every session and answers every waiting request, because the front stops."""
+        effects: list[Effect] = []
+        for session in list(self._sessions.values()):
+            if session.phase is Phase.PLAYING:
+                effects += [self._teardown_effect(session), *self._end_session(now, session, "lost")]
             else:
-                out += [self._teardown(held)] if held.setup_pending else []
-                out += self._answer(now, held, Answer("torn-down", why="front-stopped"))
-        return out
+                effects += [self._teardown_effect(session)] if session.setup_pending else []
+                effects += self._answer(now, session, Answer("torn-down", reason="front-stopped"))
+        return effects
 
-    # Inside
+    # Internals
 
-    def _feed(self, now: int, event: ev.Event, held: SessionRecord | None) -> list[Effect]:
-        begun = time.perf_counter_ns()
+    def _handle_event(self, now: int, event: ev.Event, session: SessionRecord | None) -> list[Effect]:
+        started_ns = time.perf_counter_ns()
         try:
             actions = self._driver.handle(now, event)
-        except Exception as problem:
-            # Guards against a fault in the decisions: that session alone is answered torn down, none is lost.
+        except Exception as error:
+            # A fault in the decisions affects the session concerned alone, which is answered as torn down.
             self.counts.faults += 1
-            out: list[Effect] = [
+            effects: list[Effect] = [
                 fx.WriteLog(
                     "error",
                     "decisions failed",
-                    held.sess if held else "",
-                    f"{type(problem).__name__}: {problem}",
+                    session.sess if session else "",
+                    f"{type(error).__name__}: {error}",
                 )
             ]
-            if held is not None and held.phase is Phase.WAITING:
-                out += [self._teardown(held)] if held.setup_pending else []
-                out += self._answer(now, held, Answer("torn-down", why="fault"))
-            return out
+            if session is not None and session.phase is Phase.WAITING:
+                effects += [self._teardown_effect(session)] if session.setup_pending else []
+                effects += self._answer(now, session, Answer("torn-down", reason="fault"))
+            return effects
         finally:
-            self.counts.decision_ns += time.perf_counter_ns() - begun
+            self.counts.decision_ns += time.perf_counter_ns() - started_ns
             self.counts.events += 1
         if self.on_event_handled is not None:
             self.on_event_handled(now, event, actions)
-        out = []
+        effects = []
         for action in actions:
-            out += self._carry_out(now, action)
-        return out
+            effects += self._apply_action(now, action)
+        return effects
 
-    def _carry_out(self, now: int, action: act.Action) -> list[Effect]:
+    def _apply_action(self, now: int, action: act.Action) -> list[Effect]:
         match action:
-            case act.SetTimer(at, cookie):
-                self._set_timer(at, "cookie", cookie)
+            case act.SetTimer(due_at, cookie):
+                self._set_timer(due_at, "cookie", cookie)
                 return []
             case act.SendPeerMessage(peer, payload):
                 return [fx.SendGossip(peer, payload)]
@@ -378,131 +405,142 @@
             case act.Log(text):
                 return [fx.WriteLog("info", text)]
             case act.Setup() | act.SetRung() | act.BusyReply() | act.TearDown() | act.Cancel() | act.Move():
-                held = self._by_req.get(action.req_id)
-                return [] if held is None else self._for_session(now, held, action)
+                session = self._by_req_id.get(action.req_id)
+                return [] if session is None else self._apply_session_action(now, session, action)
             case _:
-                raise TypeError(f"{action} is for the runtime, not for the engine")
+                raise TypeError(f"the engine does not handle {action}; the runtime must")
 
-    def _for_session(
+    def _apply_session_action(
         self,
         now: int,
-        held: SessionRecord,
+        session: SessionRecord,
         action: act.Setup | act.SetRung | act.BusyReply | act.TearDown | act.Cancel | act.Move,
     ) -> list[Effect]:
         match action:
             case act.Setup(_, server, timeout):
-                if held.phase is not Phase.WAITING:
-                    # Guards against a SETUP for who is answered or has left, while the session is remembered.
-                    moot = ev.Ended(held.req_id, held.attempt + 1, server, ev.Result.MOOT, True, 0, {})
-                    return self._feed(now, moot, held)
-                held.attempt, held.server, held.setup_pending, held.setup_sent_at = (
-                    held.attempt + 1,
+                if session.phase is not Phase.WAITING:
+                    # Already answered or left: the session is only remembered, so no SETUP goes out for it.
+                    moot = ev.Ended(session.req_id, session.attempt + 1, server, ev.Result.MOOT, True, 0, {})
+                    return self._handle_event(now, moot, session)
+                session.attempt, session.server, session.setup_pending, session.setup_sent_at = (
+                    session.attempt + 1,
                     server,
                     True,
                     now,
                 )
-                left = held.requested_at + held.request.wait - now
-                timeout = min(timeout, left) if timeout > 0 else left
-                self._set_timer(now + timeout, "setup", held.req_id, held.attempt)
-                return [fx.SendSetup(held.sess, held.attempt, server, held.request, held.rung, timeout)]
+                remaining = session.requested_at + session.request.wait - now
+                timeout = min(timeout, remaining) if timeout > 0 else remaining
+                self._set_timer(now + timeout, "setup", session.req_id, session.attempt)
+                return [
+                    fx.SendSetup(
+                        session.sess, session.attempt, server, session.request, session.rung, timeout
+                    )
+                ]
             case act.SetRung(_, rung):
-                held.rung = rung
-                if held.phase is not Phase.PLAYING:
+                session.rung = rung
+                if session.phase is not Phase.PLAYING:
                     return []
-                change = fx.SendRung(held.sess, held.attempt, held.server, rung)
-                return [change, fx.Push(held.sess, "rung", rung)]
+                change = fx.SendRung(session.sess, session.attempt, session.server, rung)
+                return [change, fx.Push(session.sess, "rung", rung)]
             case act.BusyReply(_, come_back):
-                return self._answer(now, held, Answer("busy", come_back=come_back))
+                return self._answer(now, session, Answer("busy", come_back=come_back))
             case act.TearDown():
-                return self._answer(now, held, Answer("torn-down"))
+                return self._answer(now, session, Answer("torn-down"))
             case act.Cancel(_, attempt):
-                if not held.setup_pending or held.attempt != attempt:
+                if not session.setup_pending or session.attempt != attempt:
                     return []
-                held.setup_pending = False
-                ended = self._ended_event(now, held, ev.Result.CANCELLED, False)
-                return [self._teardown(held), *self._feed(now, ended, held)]
+                session.setup_pending = False
+                ended = self._setup_ended_event(now, session, ev.Result.CANCELLED, False)
+                return [self._teardown_effect(session), *self._handle_event(now, ended, session)]
             case act.Move():
-                if held.phase is not Phase.PLAYING:
+                if session.phase is not Phase.PLAYING:
                     return []
                 return [
-                    self._teardown(held),
-                    fx.Push(held.sess, "moved"),
-                    *self._end_playing(now, held, "viewer-gone"),
+                    self._teardown_effect(session),
+                    fx.Push(session.sess, "moved"),
+                    *self._end_session(now, session, "viewer-gone"),
                 ]
 
-    def _request_event(self, held: SessionRecord, means: ev.Means | None) -> ev.SessionRequest:
-        ask = held.request
+    def _request_event(self, session: SessionRecord, means: ev.Means | None) -> ev.SessionRequest:
+        request = session.request
         return ev.SessionRequest(
-            held.req_id, ask.service_group, ask.tenant, ask.viewer, stable_id(ask.title), ask.wait,
-            ask.length, ask.home, ask.span, ask.top, ask.moved, ask.again, means,
+            session.req_id, request.service_group, request.tenant, request.viewer, stable_id(request.title),
+            request.wait, request.length, request.home, request.span, request.top, request.moved,
+            request.again, means,
         )  # fmt: skip
 
-    def _setup_late(self, now: int, held: SessionRecord | None, attempt: int) -> list[Effect]:
-        if held is None or not held.setup_pending or held.attempt != attempt:
+    def _setup_timed_out(self, now: int, session: SessionRecord | None, attempt: int) -> list[Effect]:
+        if session is None or not session.setup_pending or session.attempt != attempt:
             return []
-        held.setup_pending = False
-        self.counts.add(self.counts.setups, ev.Result.TIMEOUT.value)
-        ended = self._ended_event(now, held, ev.Result.TIMEOUT, False)
-        return [self._teardown(held), *self._feed(now, ended, held)]
+        session.setup_pending = False
+        self.counts.increment(self.counts.setups, ev.Result.TIMEOUT.value)
+        ended = self._setup_ended_event(now, session, ev.Result.TIMEOUT, False)
+        return [self._teardown_effect(session), *self._handle_event(now, ended, session)]
 
-    def _ended_event(
+    def _setup_ended_event(
         self,
         now: int,
-        held: SessionRecord,
+        session: SessionRecord,
         result: ev.Result,
         final: bool,
         report: dict[str, float] | None = None,
     ) -> ev.Ended:
         return ev.Ended(
-            held.req_id, held.attempt, held.server, result, final, now - held.setup_sent_at, report or {}
+            session.req_id,
+            session.attempt,
+            session.server,
+            result,
+            final,
+            now - session.setup_sent_at,
+            report or {},
         )
 
-    def _teardown(self, held: SessionRecord) -> Effect:
-        return fx.SendTeardown(held.sess, held.attempt, held.server)
+    def _teardown_effect(self, session: SessionRecord) -> Effect:
+        return fx.SendTeardown(session.sess, session.attempt, session.server)
 
-    def _end_playing(self, now: int, held: SessionRecord, why: str) -> list[Effect]:
-        self._close(now, held, why)
-        ended = self._ended_event(now, held, END_RESULTS[why], True)
-        return [fx.Push(held.sess, "ended", why), *self._feed(now, ended, held)]
+    def _end_session(self, now: int, session: SessionRecord, reason: str) -> list[Effect]:
+        self._close(now, session, reason)
+        ended = self._setup_ended_event(now, session, END_RESULTS[reason], True)
+        return [fx.Push(session.sess, "ended", reason), *self._handle_event(now, ended, session)]
 
-    def _answer(self, now: int, held: SessionRecord, answer: Answer) -> list[Effect]:
-        """The one place where a waiting request is answered; what comes after the first is void."""
-        if held.answer is not None:
+    def _answer(self, now: int, session: SessionRecord, answer: Answer) -> list[Effect]:
+        """Answers a waiting request. Later answers to the same request are dropped."""
+        if session.answer is not None:
             return []
-        held.answer = answer
+        session.answer = answer
         self.requests_in_hand -= 1
-        self.counts.add(self.counts.answers, answer.kind)
+        self.counts.increment(self.counts.answers, answer.kind)
         if answer.kind != "playing":
-            self._close(now, held, answer.kind)
-        if answer.kind == "left" and held.repeat_key is not None:
-            self._repeats.pop(held.repeat_key, None)  # nobody was answered: the same key may begin anew
-            held.repeat_key = None
-        return [fx.Reply(held.sess, answer)]
-
-    def _close(self, now: int, held: SessionRecord, why: str) -> None:
-        """Nobody plays any more. It is remembered a while, so that repeats and reads find it."""
-        held.phase, held.end_reason = Phase.ENDED, why
-        self._held.pop(held.sess, None)
-        at = self._at_server.get(held.server)
-        if at is not None and at.pop(held.sess, None) is not None and not at:
-            del self._at_server[held.server]
-        if held.repeat_key is not None or len(self._ended) < self.gate.limits.repeats:
-            self._ended[held.sess] = held
-            self._set_timer(now + self.gate.limits.repeat_time, "forget", held.req_id)
+            self._close(now, session, answer.kind)
+        if answer.kind == "left" and session.repeat_key is not None:
+            self._repeats.pop(session.repeat_key, None)  # no viewer was answered: the key may be used again
+            session.repeat_key = None
+        return [fx.Reply(session.sess, answer)]
+
+    def _close(self, now: int, session: SessionRecord, reason: str) -> None:
+        """Marks a session as ended and keeps it for a while, so that repeats and reads find it."""
+        session.phase, session.end_reason = Phase.ENDED, reason
+        self._sessions.pop(session.sess, None)
+        sessions = self._playing_by_server.get(session.server)
+        if sessions is not None and sessions.pop(session.sess, None) is not None and not sessions:
+            del self._playing_by_server[session.server]
+        if session.repeat_key is not None or len(self._ended) < self.gate.limits.repeats:
+            self._ended[session.sess] = session
+            self._set_timer(now + self.gate.limits.repeat_time, "forget", session.req_id)
         else:
-            self._by_req.pop(held.req_id, None)
+            self._by_req_id.pop(session.req_id, None)
 
     def _forget(self, req_id: int) -> None:
-        held = self._by_req.pop(req_id, None)
-        if held is not None:
-            self._ended.pop(held.sess, None)
-            if held.repeat_key is not None:
-                self._repeats.pop(held.repeat_key, None)
+        session = self._by_req_id.pop(req_id, None)
+        if session is not None:
+            self._ended.pop(session.sess, None)
+            if session.repeat_key is not None:
+                self._repeats.pop(session.repeat_key, None)
 
-    def _set_timer(self, at: int, kind: str, number: int, attempt: int = 0) -> None:
-        heapq.heappush(self._timers, (at, next(self._order), kind, number, attempt))
+    def _set_timer(self, due_at: int, kind: str, number: int, attempt: int = 0) -> None:
+        heapq.heappush(self._timers, (due_at, next(self._timer_sequence), kind, number, attempt))
 
 
-def stable_id(title: str) -> int:
-    """The number by which the decisions know a title."""
-    return xxhash.xxh64_intdigest(title.encode())
+def stable_id(name: str) -> int:
+    """The 64-bit hash by which the decisions know a title or viewer; equal in every process."""
+    return xxhash.xxh64_intdigest(name.encode())
--- a/ponddoor/front/process.py
+++ b/ponddoor/front/process.py
@@ -195,7 +195,7 @@
             late = self.gate.lag.tick(clock())
             self.metrics.lagged(late / SECOND)
             if self._noted is not None and isinstance(self.decisions, Front):
-                for front, dead in self.standings.look(self.decisions.fleet.presence).items():
+                for front, dead in self.standings.changes(self.decisions.fleet.presence).items():
                     self._noted("stands", front=front, dead=dead)
             if late > self.site.limits.loop_lag:
                 log.warning("loop-late", ms=late // 1000)
@@ -205,7 +205,7 @@
         while True:
             await asyncio.sleep(1)
             if isinstance(self.decisions, Front):
-                self.acting.look(self.decisions, clock())
+                self.acting.log_changes(self.decisions, clock())
             now_reached = {word for word in self.engine.counts.answers if word.startswith("limit ")}
             for word in sorted(now_reached - reached):
                 log.warning("limit-reached", limit=word.removeprefix("limit "))
--- a/ponddoor/front/viewers.py
+++ b/ponddoor/front/viewers.py
@@ -187,7 +187,7 @@
             sess = known.sess if known is not None else sess
             taken = await self._take_seat(body, sess)
             if isinstance(taken, Refused):
-                return self._reply("", Answer("busy", come_back=taken.come_back, why=taken.why))
+                return self._reply("", Answer("busy", come_back=taken.come_back, reason=taken.why))
             granted = taken
             if self.terms is not terms:
                 # Guards against a request of which one half is decided by one version and one by the next:
@@ -364,11 +364,11 @@
             body = {
                 "session": sess,
                 "state": "busy-replied",
-                "error": answer.why or "busy",
+                "error": answer.reason or "busy",
                 "come_back_ms": answer.come_back / 1000,
             }
             return Reply(503, body, (("Retry-After", str(seconds)),))
-        return Reply(502, {"session": sess, "state": "torn-down", "error": answer.why or answer.kind})
+        return Reply(502, {"session": sess, "state": "torn-down", "error": answer.reason or answer.kind})
 
     def _state(self, held: SessionRecord) -> dict[str, Any]:
         state: dict[str, Any] = {
--- a/ponddoor/node/process.py
+++ b/ponddoor/node/process.py
@@ -188,7 +188,7 @@
                 log.debug("account", rows=server_account(self.front, now))
             if now >= log_at:
                 log_at = now + STATE_LOG_INTERVAL_US
-                self.acting.look(self.front, now)
+                self.acting.log_changes(self.front, now)
                 self._log_state()
         await self._shut_down(self.drain)
 
--- a/ponddoor/node/viewers.py
+++ b/ponddoor/node/viewers.py
@@ -172,7 +172,7 @@
         if record is None:
             return
         if record.phase is Phase.RECEIVED:
-            self._reply(session, Answer("busy", come_back=self.engine.come_back, why=reason))
+            self._reply(session, Answer("busy", come_back=self.engine.come_back, reason=reason))
         else:
             self.apply(lambda now: self.engine.answer_now(now, session, reason))
 
@@ -344,7 +344,7 @@
         connection = self.sessions.answer(clock(), session, answer.kind == "playing")
         if connection is None:
             return
-        log.debug("answered", session=session, kind=answer.kind, why=answer.why)
+        log.debug("answered", session=session, kind=answer.kind, why=answer.reason)
         match answer.kind:
             case "playing":
                 connection.trusted = True
@@ -353,7 +353,7 @@
                 self.session_log.session_standing(
                     session, -1 if held is None else held.server, connection.number
                 )
-                connection.write(codec.encode_playing(session, answer.passed))
+                connection.write(codec.encode_playing(session, answer.viewer_text))
             case "busy":
                 connection.write(codec.encode_busy(session, answer.come_back))
             case _:
--- a/ponddoor/rehearse/hollow_front.py
+++ b/ponddoor/rehearse/hollow_front.py
@@ -56,17 +56,17 @@
     frozen = False
     missed = False
 
-    def _due(self) -> None:
+    def _on_timer(self) -> None:
         if self.frozen:
             self.missed = True
             return
-        super()._due()
+        super()._on_timer()
 
     def thaw(self) -> None:
         self.frozen = False
         if self.missed:
             self.missed = False
-            super()._due()
+            super()._on_timer()
 
 
 class HollowWords(GossipSocket):
@@ -208,7 +208,7 @@
     def look(self) -> None:
         """Tell when this front takes another for dead, or for alive again."""
         if self.life is not None and not self.life.pump.frozen:
-            for other, dead in self.life.standings.look(self.life.decisions.fleet.presence).items():
+            for other, dead in self.life.standings.changes(self.life.decisions.fleet.presence).items():
                 self.around.changed(self.me, other, dead)
 
     def listed(self) -> None:
--- a/tests/following/test_front.py
+++ b/tests/following/test_front.py
@@ -55,7 +55,7 @@
         open_one = asyncio.create_task(world.ask())
         await world.until(lambda: world.seen("setup"))
         await made.change({"groups/clips": CLIPS[:-1] + " (top 0))", "ladder": LOW})
-        [held] = front.engine._held.values()
+        [held] = front.engine._sessions.values()
         assert (held.group.top, len(held.ladder.rate_kb)) == (2, 3)
         for media in world.media:
             media.awake.set()
--- a/tests/front/conftest.py
+++ b/tests/front/conftest.py
@@ -118,7 +118,7 @@
                 case fx.SendTeardown(sess, attempt, server):
                     self.seen.append(f"teardown {sess} {attempt} {server}")
                 case fx.Reply(sess, answer):
-                    self.seen.append(f"reply {sess} {answer.kind} {answer.why}".strip())
+                    self.seen.append(f"reply {sess} {answer.kind} {answer.reason}".strip())
                 case fx.Push(sess, what, value):
                     self.seen.append(f"push {sess} {what} {value}")
                 case fx.SendRung(sess, attempt, _, rung):
--- a/tests/front/test_world.py
+++ b/tests/front/test_world.py
@@ -501,7 +501,7 @@
     async def live(world: World) -> None:
         front: Any = world.fronts[0].decisions
         before = (front.now, front.fleet.now, dict(front.fleet.synced_cache), dict(front.fleet.synced_since))
-        world.fronts[0].acting.look(front, before[0] + 5_000_000)
+        world.fronts[0].acting.log_changes(front, before[0] + 5_000_000)
         list(world.fronts[0]._samples())
         assert (front.now, front.fleet.now, front.fleet.synced_cache, front.fleet.synced_since) == before
 
--- a/tests/soak/mutants.py
+++ b/tests/soak/mutants.py
@@ -73,7 +73,7 @@
         if connection is not None and answer.kind == "playing":
             from ponddoor.node import viewer_codec
 
-            connection.write(viewer_codec.encode_playing(session, answer.passed))
+            connection.write(viewer_codec.encode_playing(session, answer.viewer_text))
 
     Viewers._reply = twice  # type: ignore[method-assign]
 
