--- a/ponddoor/raft/simulation.py
+++ b/ponddoor/raft/simulation.py
@@ -175,7 +175,7 @@
             node.files.crash_in = -1
             node.files.fail.clear()
             node.paused_until = 0
-            if node.raft is None and node.life:
+            if node.raft is None and node.starts:
                 self._start(node)
 
     def _until(self, end: int) -> None:
@@ -211,7 +211,7 @@
     # Members
 
     def _start(self, node: Node) -> None:
-        node.life += 1
+        node.starts += 1
         node.files.locked = False
         journal = Journal(node.files, segment_bytes=3000)
         try:
@@ -227,26 +227,26 @@
         node.last_record_at_start = journal.next_number - 1
         node.applied, node.state = 0, []
         self._carry_out(node, raft.recover(kept.term, kept.vote, kept.entries))
-        life = node.life
-        self.schedule_after(0, TICK, lambda: self._tick(node, life))
+        start = node.starts
+        self.schedule_after(0, TICK, lambda: self._tick(node, start))
 
-    def _tick(self, node: Node, life: int) -> None:
-        if node.raft is None or node.life != life:
+    def _tick(self, node: Node, start: int) -> None:
+        if node.raft is None or node.starts != start:
             return
         if self.now >= node.paused_until:
             self._carry_out(node, node.raft.tick())
-        self.schedule_at(self.now + round(TICK * node.clock_rate), lambda: self._tick(node, life))
+        self.schedule_at(self.now + round(TICK * node.clock_rate), lambda: self._tick(node, start))
 
     def on_crash(self, node: Node) -> None:
         node.raft = node.journal = None
-        node.life += 1
+        node.starts += 1
         self.found.crashes += 1
         node.files.crash()
-        life = node.life
+        start = node.starts
         self.schedule_after(
             100_000,
             3_000_000,
-            lambda: self._start(node) if node.life == life and node.raft is None else None,
+            lambda: self._start(node) if node.starts == start and node.raft is None else None,
         )
 
     def _some_crash(self) -> None:
@@ -258,9 +258,9 @@
         else:
             self.on_crash(node)
 
-    def _hunt(self, node: Node, life: int) -> None:
+    def _hunt(self, node: Node, start: int) -> None:
         """A new leader crashes, or hears nobody for a while."""
-        if node.raft is None or node.life != life:
+        if node.raft is None or node.starts != start:
             return
         if self.rng.random() < 0.5 and not self.plan.eager:
             self.on_crash(node)
@@ -301,7 +301,7 @@
         else:
             return
         for number in wanted.everybody():
-            if not self.nodes[number].life:
+            if not self.nodes[number].starts:
                 self._start(self.nodes[number])
         self._carry_out(leader, leader.raft.change_members(next(self.tickets), wanted))
         self.schedule_after(
@@ -315,9 +315,9 @@
     # Effects
 
     def _carry_out(self, node: Node, effects: list[Effect]) -> None:
-        life = node.life
+        start = node.starts
         for effect in effects:
-            if node.life != life:
+            if node.starts != start:
                 return
             match effect:
                 case WriteVote() | WriteEntries() | WriteSnapshot():
@@ -355,8 +355,8 @@
         if self.faults_enabled and self.plan.eager and self.rng.random() < self.plan.eager:
             self.schedule_after(0, 2_000, self._some_change)
         if self.faults_enabled and self.plan.hunted and self.rng.random() < self.plan.hunted:
-            life = node.life
-            self.schedule_after(0, self.plan.hunt_within, lambda: self._hunt(node, life))
+            start = node.starts
+            self.schedule_after(0, self.plan.hunt_within, lambda: self._hunt(node, start))
         for index, entry in self.log.items():
             # Leader completeness (5.4) speaks of terms from that of the commit on: one that stood still may
             # learn late that it won a term which the others have left behind
@@ -389,11 +389,11 @@
                 self.found.acknowledged += 1
         if node.raft is not None and self.rng.random() < self.plan.compact:
             data = b"\n".join(node.state)
-            number, life = node.applied, node.life
-            self.schedule_at(self.now, lambda: self._compact(node, life, number, data))
+            number, start = node.applied, node.starts
+            self.schedule_at(self.now, lambda: self._compact(node, start, number, data))
 
-    def _compact(self, node: Node, life: int, number: int, data: bytes) -> None:
-        if node.raft is not None and node.life == life and node.raft.applied == number:
+    def _compact(self, node: Node, start: int, number: int, data: bytes) -> None:
+        if node.raft is not None and node.starts == start and node.raft.applied == number:
             self._carry_out(node, node.raft.compact(data))
 
     def _restored(self, node: Node, snapshot: Snapshot) -> None:
--- a/ponddoor/seats/simulation.py
+++ b/ponddoor/seats/simulation.py
@@ -181,7 +181,7 @@
     # Fronts
 
     def _start(self, node: Node) -> None:
-        node.life += 1
+        node.starts += 1
         node.files.locked = False
         journal = Journal(node.files, segment_bytes=2000)
         try:
@@ -198,28 +198,28 @@
         node.core, node.journal, node.committing = core, journal, False
         node.last_record_at_start = journal.next_number - 1
         self._carry_out(node, core.begin(now))
-        life = node.life
-        self.schedule_after(0, TICK, lambda: self._tick(node, life))
+        start = node.starts
+        self.schedule_after(0, TICK, lambda: self._tick(node, start))
 
-    def _tick(self, node: Node, life: int) -> None:
-        if node.core is None or node.life != life:
+    def _tick(self, node: Node, start: int) -> None:
+        if node.core is None or node.starts != start:
             return
         self._carry_out(node, node.core.tick(self.clock(node)))
-        self.schedule_at(self.now + TICK, lambda: self._tick(node, life))
+        self.schedule_at(self.now + TICK, lambda: self._tick(node, start))
 
     def on_crash(self, node: Node) -> None:
         """The machine stops; what was not durable may be gone, now and then the whole disk."""
         node.core = node.journal = None
-        node.life += 1
+        node.starts += 1
         self.found.crashes += 1
         node.files.crash()
         if self.faults_enabled and self.rng.random() < self.plan.disk_losses:
             node.files = self.new_disk()
-        life = node.life
+        start = node.starts
         self.schedule_after(
             50_000,
             self.plan.down,
-            lambda: self._start(node) if node.life == life and node.core is None else None,
+            lambda: self._start(node) if node.starts == start and node.core is None else None,
         )
 
     def _some_crash(self) -> None:
@@ -238,9 +238,9 @@
         self.schedule_after(1_000_000, 3 * self.plan.timing.lease, lambda: self.cut.discard(number))
 
     def _carry_out(self, node: Node, effects: list[Effect]) -> None:
-        life = node.life
+        start = node.starts
         for effect in effects:
-            if node.life != life:
+            if node.starts != start:
                 return
             match effect:
                 case Write(_, record):
--- a/ponddoor/world.py
+++ b/ponddoor/world.py
@@ -83,16 +83,16 @@
 class Machine:
     """A machine with a disk, and the journal on it while the machine is up.
 
-    `clock_rate` is how fast its clock runs, relative to virtual time. `life` counts its starts, so that
-    callbacks of a process that has crashed since can be ignored. `last_record_at_start` is the number of the
-    journal's last record when this process started: the record numbers that its core uses count from
-    there."""
+    `clock_rate` is how fast its clock runs, relative to virtual time. `starts` changes with each start and
+    crash of its process, so that callbacks of a process that has crashed since can be ignored.
+    `last_record_at_start` is the number of the journal's last record when this process started: the record
+    numbers that its core uses count from there."""
 
     number: int
     clock_rate: float
     files: FaultyFiles
     journal: Journal | None = None
-    life: int = 0
+    starts: int = 0
     committing: bool = False
     last_record_at_start: int = 0
 
@@ -129,14 +129,14 @@
         machine.journal.append(record)
         if not machine.committing:
             machine.committing = True
-            life = machine.life
-            self.schedule_after(200, 20_000, lambda: self.commit_journal(machine, life))
+            start = machine.starts
+            self.schedule_after(200, 20_000, lambda: self.commit_journal(machine, start))
 
-    def commit_journal(self, machine: Any, life: int) -> None:
+    def commit_journal(self, machine: Any, start: int) -> None:
         """Make the appended records durable. After a disk error it is tried again, unless the journal failed.
 
         Does nothing if the machine has crashed since the commit was scheduled."""
-        if machine.life != life or machine.journal is None:
+        if machine.starts != start or machine.journal is None:
             return
         machine.committing = False
         if self.faults_enabled and self.rng.random() < self.disk_errors:
@@ -151,10 +151,10 @@
                 self.on_crash(machine)
                 return
             machine.committing = True
-            self.schedule_after(20_000, 60_000, lambda: self.commit_journal(machine, life))
+            self.schedule_after(20_000, 60_000, lambda: self.commit_journal(machine, start))
             return
         self.on_durable(machine, durable - machine.last_record_at_start)
-        if machine.life == life and self.rng.random() < 0.03:
+        if machine.starts == start and self.rng.random() < 0.03:
             self.take_snapshot(machine)
 
     def take_snapshot(self, machine: Any) -> None:
