--- a/ponddoor/front/follower.py
+++ b/ponddoor/front/follower.py
@@ -669,7 +669,7 @@
             return []
         self.home = None
         self._choose()
-        if self.schedule.out_since is not None and self.hops < self._most_hops(how):
+        if self.schedule.outage_since is not None and self.hops < self._most_hops(how):
             self.hops += 1
             self.next_try = now + stay_away + MIN_RETRY_INTERVAL_US + self._chance.draw(HOP)
             return []
--- a/ponddoor/front/limits.py
+++ b/ponddoor/front/limits.py
@@ -1,24 +1,24 @@
-"""The limits of one front itself, free of I/O: who is taken in, and how late the event loop is."""
+"""Admission control of one front, free of I/O: its limits, and the lag of its event loop."""
 
 from dataclasses import dataclass
 
 from ponddoor.settings.limits import Limits
 
-SAMPLE_PERIOD_US = 50_000  # the loop is sampled so often, in microseconds
+SAMPLE_PERIOD_US = 50_000  # between two ticks that measure the lag of the event loop
 
 
 @dataclass(slots=True)
 class LagMeter:
-    """How late the event loop runs, from ticks that should come every SAMPLE_PERIOD_US microseconds.
+    """Measures how late the event loop runs, from ticks that should come every SAMPLE_PERIOD_US.
 
-    A tick that is overdue counts before it comes, so that work that piled up behind a blocked loop is seen as
-    late by whichever runs first. A late tick counts until the next one in time."""
+    An overdue tick counts before it comes, so that work which queued up behind a blocked loop is seen as late
+    by whichever callback runs first. A late tick counts until the next punctual one."""
 
     due: int
     last: int = 0
 
     def tick(self, now: int) -> int:
-        """A tick came; returns how late it was."""
+        """Record a tick and return how late it was, in microseconds."""
         self.last = max(0, now - self.due)
         self.due = now + SAMPLE_PERIOD_US
         return self.last
@@ -29,18 +29,20 @@
 
 @dataclass(slots=True)
 class AdmissionGate:
-    """Whether a front takes one more request; a refusal is the name of the limit that is reached."""
+    """Decides whether a front admits one more request."""
 
     limits: Limits
     lag: LagMeter
     draining: bool = False
 
     def refusal(self, now: int, in_hand: int, held: int, repeats: int) -> str:
-        """The limit that stands in the way of one more, or an empty word."""
+        """The name of the limit that refuses one more request, or an empty string.
+
+        `repeats` is the number of idempotency keys in use, or -1 for a request without one."""
         if self.draining:
             return "draining"
         if self.lag.lag(now) > self.limits.loop_lag:
-            # Guards against work begun too late to matter; harms where one long stall is all there was.
+            # A request admitted now would be handled too late; after a single stall this refuses needlessly.
             return "loop-lag"
         if in_hand >= self.limits.in_hand:
             return "requests-in-hand"
--- a/ponddoor/front/reconnect.py
+++ b/ponddoor/front/reconnect.py
@@ -1,11 +1,12 @@
-"""When a front connects to its server list: at its start, after a loss, after an order to move, in an outage.
+"""When a front connects to its server list: at its start, after a loss, after a redirect, and in an outage.
 
-Free of I/O: times in microseconds go in, the time of the next try comes out. HTTP front, node and follower of
-the shared configuration use it alike. Fronts that start, lose the list or find it down at the same time would
-otherwise try in step for ever. A fleet's tries are spread by the front's number, with jitter within its part.
+Free of I/O: times in microseconds are passed in, the time of the next try is returned. The HTTP front, the
+node and the follower of the shared configuration all use it. Fronts that start, lose the list or find it
+down at the same time would otherwise retry in step for ever. The tries of a fleet are spread by the front's
+number, with jitter within its slot.
 
-Source of the bounds: the platform's protocol page ("The notice board", "Bad peers") for the first seconds
-after a loss; after a failed call a change counts as told 6 s after the list had it and could be reached."""
+The limits for the first seconds after a loss come from the platform's protocol page ("The notice board", "Bad
+peers"). After a failed call, a change counts as known 6 s after the list had it and could be reached."""
 
 from dataclasses import dataclass, field
 from enum import Enum
@@ -13,25 +14,24 @@
 from ponddoor.state import SeededRandom
 
 SECOND = 1_000_000
-FLEET_TRIES_PER_S = 30  # first tries a second, while the bounds leave room for so few
-RETRY_PERIOD_US = 4 * SECOND  # between the beginnings of two tries of a front in a long outage
-RETRY_PERIOD_SLACK_US = (
-    4 * SECOND // 5
-)  # by which one may be late; with a connection 1 s late 5.8 of the 6 s are used
-MIN_RETRY_INTERVAL_US = 20_000  # us between two tries of one front
+FLEET_TRIES_PER_S = 30  # rate of first tries that the spread aims at, where the limits leave that much time
+RETRY_PERIOD_US = 4 * SECOND  # between the starts of two tries of a front in a long outage
+# By how much such a try may be late: with a connection that takes 1 s, 5.8 s of the 6 s are then used.
+RETRY_PERIOD_SLACK_US = 4 * SECOND // 5
+MIN_RETRY_INTERVAL_US = 20_000
 
 
 class Loss(Enum):
     """How the list was lost, or a try failed."""
 
-    REFUSED = "refused"  # nothing listens there
-    LATE = "late"  # no connection came up in time: the machine or the link
-    SILENT = "silent"  # a connection that stays open and tells nothing more
-    BROKEN = "broken"  # it ended, or told what can't be used
-    TURNED_AWAY = "turned-away"  # an answer that says to come later
+    REFUSED = "refused"  # nothing listens at the address
+    LATE = "late"  # no connection was established in time: the machine or the network is at fault
+    SILENT = "silent"  # the connection stays open without messages
+    BROKEN = "broken"  # the connection ended or sent something unusable
+    TURNED_AWAY = "turned-away"  # the list answered that the front should retry later
 
 
-# How long after the loss its news counts as told; of a silence, `lost` is told how much has gone by
+# How long after the loss a change of the list counts as known; `lost` is told how much of it has passed.
 NEWS_LIMITS_US = {
     Loss.REFUSED: 2 * SECOND,
     Loss.BROKEN: 2 * SECOND,
@@ -39,90 +39,96 @@
     Loss.SILENT: 4 * SECOND,
     Loss.TURNED_AWAY: 4 * SECOND,
 }
-REDIRECT_LIMIT_US = 4 * SECOND  # likewise after an order to follow another address
+REDIRECT_LIMIT_US = 4 * SECOND  # likewise, after an order to use another address
 
 
 @dataclass(slots=True)
 class ReconnectSchedule:
-    """One front's tries. `me` counts from 0 below `fronts`; times are microseconds.
+    """The tries of one front, whose number is `me` of 0 to `fronts` - 1. Times are in microseconds.
 
-    `grace` is how long news at a start may take, `step` the longest wait after the first failure, `period`
-    what lies between the beginnings of two tries in a long outage."""
+    `start_limit` is how long the list may take to arrive at a start, `first_wait_limit` the longest wait
+    after the first failure, `period` the time between the starts of two tries in a long outage. `tries`
+    counts the failures since the list was last heard, `losses` all failures by kind."""
 
     me: int
     fronts: int
-    grace: int
+    start_limit: int
     seed: int
-    step: int = SECOND
+    first_wait_limit: int = SECOND
     period: int = RETRY_PERIOD_US
-    tries: int = 0  # that failed since anything was heard
+    tries: int = 0
     losses: dict[str, int] = field(default_factory=dict)
-    out_since: int | None = None
+    outage_since: int | None = None
     last_heard: int | None = None
-    _begun: int = 0  # when the last try began
-    _chance: SeededRandom = field(init=False)
+    _last_try_at: int = 0
+    _random: SeededRandom = field(init=False)
 
     def __post_init__(self) -> None:
-        self._chance = SeededRandom(self.seed ^ 0x9E3779B97F4A7C15)  # the decisions draw from the seed itself
-        self._chance.draw(2)
+        # Not the seed itself: the decisions draw from that.
+        self._random = SeededRandom(self.seed ^ 0x9E3779B97F4A7C15)
+        self._random.draw(2)
 
     def start(self, now: int) -> int:
-        """The first try: the list of the start is in hand, what is told since counts at once."""
-        self.tries, self.out_since = 0, now
-        return self._begin(now + self._place(self.grace // 3))
+        """The time of the first try at a start, when changes since the list in hand are due at once."""
+        self.tries, self.outage_since = 0, now
+        return self._schedule(now + self._slot(self.start_limit // 3))
 
     def moved(self, now: int) -> int:
-        """The first try at another address, which all were told to follow in the same moment."""
-        self.tries, self.out_since = 0, now
-        return self._begin(now + self._place(REDIRECT_LIMIT_US // 3))
+        """The time of the first try at another address, to which all fronts are redirected at once."""
+        self.tries, self.outage_since = 0, now
+        return self._schedule(now + self._slot(REDIRECT_LIMIT_US // 3))
 
     def heard(self, now: int) -> None:
-        """Something whole came from the list."""
-        self.tries, self.out_since, self.last_heard = 0, None, now
+        """Record that a complete message came from the list."""
+        self.tries, self.outage_since, self.last_heard = 0, None, now
 
     def age(self, now: int) -> int:
-        """For how long nothing was heard from the list (us); 0 where it never was."""
+        """How long ago the list was last heard; 0 if never."""
         return 0 if self.last_heard is None else now - self.last_heard
 
-    def lost(self, now: int, how: Loss, gone: int = 0, stay_away: int = 0) -> int:
-        """When to try next. `gone` is how long ago it happened, `stay_away` what the answer asked for."""
-        self.losses[how.value] = self.losses.get(how.value, 0) + 1
-        first, left = self.out_since is None, max(NEWS_LIMITS_US[how] - gone, SECOND // 2)
-        self.out_since = now - gone if self.out_since is None else self.out_since
-        if first:  # all that had it lose it together
-            return self._begin(now + max(stay_away, MIN_RETRY_INTERVAL_US) + self._place(left // 3))
+    def lost(self, now: int, loss: Loss, elapsed: int = 0, min_wait: int = 0) -> int:
+        """The time of the next try after a failure.
+
+        `elapsed` is how long ago the failure began, `min_wait` the wait that the list's answer asked for."""
+        self.losses[loss.value] = self.losses.get(loss.value, 0) + 1
+        is_first, remaining = self.outage_since is None, max(NEWS_LIMITS_US[loss] - elapsed, SECOND // 2)
+        self.outage_since = now - elapsed if self.outage_since is None else self.outage_since
+        if is_first:  # all fronts that were connected lose the list at the same time
+            return self._schedule(now + max(min_wait, MIN_RETRY_INTERVAL_US) + self._slot(remaining // 3))
         self.tries = min(self.tries + 1, 30)
-        if now - self.out_since >= REDIRECT_LIMIT_US:
-            return self._begin(self._next_in_period(now, stay_away))
-        wait = self._chance.draw(self._longest_wait(left))
-        # Who is told when to come back is told the same as all others: chance goes on top
-        return self._begin(now + stay_away + max(wait, MIN_RETRY_INTERVAL_US))
-
-    def _begin(self, at: int) -> int:
-        self._begun = at
-        return at
-
-    def _next_in_period(self, now: int, stay_away: int) -> int:
-        """This front's own moment in the period, so that the fleet's tries are even.
-
-        It is sooner where that moment lies too far from the beginning of the last try."""
-        assert self.out_since is not None
-        since, mine = (
-            now + stay_away + MIN_RETRY_INTERVAL_US - self.out_since,
+        if now - self.outage_since >= REDIRECT_LIMIT_US:
+            return self._schedule(self._next_in_period(now, min_wait))
+        wait = self._random.draw(self._longest_wait(remaining))
+        # The list asks every front for the same wait, so jitter is added to it.
+        return self._schedule(now + min_wait + max(wait, MIN_RETRY_INTERVAL_US))
+
+    def _schedule(self, try_at: int) -> int:
+        self._last_try_at = try_at
+        return try_at
+
+    def _next_in_period(self, now: int, min_wait: int) -> int:
+        """The front's own slot in the period, so that the fleet's tries are even.
+
+        It is sooner if that slot lies too long after the start of the last try."""
+        assert self.outage_since is not None
+        earliest, offset = (
+            now + min_wait + MIN_RETRY_INTERVAL_US - self.outage_since,
             self.period * self.me // max(self.fronts, 1),
         )
-        own = self.out_since + mine + -(-(since - mine) // self.period) * self.period
-        if stay_away:
-            return own
-        return max(min(own, self._begun + self.period + RETRY_PERIOD_SLACK_US), now + MIN_RETRY_INTERVAL_US)
-
-    def _longest_wait(self, left: int) -> int:
-        """Grown with each failure, short of what the rules leave."""
-        return min(min(left // 3, self.step) << self.tries, REDIRECT_LIMIT_US // 3)
-
-    def _place(self, spread: int) -> int:
-        """This front's place: an equal part of the spread by its number, and chance in the part's first half,
-        so that neighbours never meet."""
+        slot = self.outage_since + offset + -(-(earliest - offset) // self.period) * self.period
+        if min_wait:
+            return slot
+        return max(
+            min(slot, self._last_try_at + self.period + RETRY_PERIOD_SLACK_US), now + MIN_RETRY_INTERVAL_US
+        )
+
+    def _longest_wait(self, remaining: int) -> int:
+        """The upper end of the random wait: doubles with each failure, within what the limits leave."""
+        return min(min(remaining // 3, self.first_wait_limit) << self.tries, REDIRECT_LIMIT_US // 3)
+
+    def _slot(self, spread: int) -> int:
+        """The front's offset within `spread`: an equal part by its number, with jitter in the first half of
+        the part, so that the tries of neighbours never coincide."""
         spread = min(spread, self.fronts * SECOND // FLEET_TRIES_PER_S)
         part = max(spread // max(self.fronts, 1), 1)
-        return part * self.me + self._chance.draw(max(part // 2, 1))
+        return part * self.me + self._random.draw(max(part // 2, 1))
--- a/ponddoor/front/servers.py
+++ b/ponddoor/front/servers.py
@@ -1,6 +1,6 @@
-"""The shell towards media servers: SETUPs, rungs, teardowns, probes, and a stream of notes from each.
+"""The I/O layer towards the media servers: SETUPs, rungs, teardowns, probes, and a stream of notes from each.
 
-docs/protocol.md has every message. One pool of connections a server; what comes back goes to the engine."""
+docs/protocol.md describes every message. Each server has a pool of connections; answers go to the engine."""
 
 import asyncio
 import contextlib
@@ -45,7 +45,10 @@
 
 
 class NoteLine(msgspec.Struct, frozen=True):
-    """A line of a server's notes; `note` is hello, beat, ended, delivered, link or uplink."""
+    """A line of a server's stream of notes.
+
+    `note` is hello, beat, ended, delivered, link, uplink, hints or cmsd. `started_us` identifies the server's
+    process, `streams` has the session and attempt of each stream that it runs for this front."""
 
     note: str
     sess: str = ""
@@ -61,7 +64,7 @@
 
 @dataclass(slots=True)
 class _Link:
-    """What a front holds towards one server."""
+    """A front's connections to one server. `up` says whether its stream of notes is established."""
 
     entry: Entry
     pool: Pool
@@ -71,7 +74,7 @@
 
 @dataclass(slots=True)
 class Servers:
-    """All media servers of one front. `apply` calls the engine at the clock and carries out its effects."""
+    """All media servers of one front. `apply` calls the engine and carries out its effects."""
 
     site: Site
     me: int
@@ -82,12 +85,12 @@
     setups: dict[tuple[str, int], asyncio.Task[None]] = field(default_factory=dict)
     tasks: set[asyncio.Task[None]] = field(default_factory=set)
     dropped_teardowns: int = 0
-    _leaving: set[int] = field(default_factory=set)  # gone from the list, with sessions left
+    _leaving: set[int] = field(default_factory=set)  # removed from the list, but with sessions left
     hinting: Hinting | None = None
-    sends_group_terms: bool = False  # the site may change: a server is told by what terms a session plays
+    sends_group_terms: bool = False  # as the site may change, a SETUP carries the group's name and rates
 
     def apply_list_change(self, change: ListChange) -> None:
-        """The list has changed: connect to who is new, let go of who is gone and holds nothing."""
+        """Connect to servers that are new in the list, and drop removed ones without sessions."""
         for entry in change.entries:
             number = entry.server
             self._leaving.discard(number)
@@ -97,11 +100,13 @@
                 link = None
             if link is None:
                 host, _, port = entry.address.rpartition(":")
-                side = self.site.servers
-                connect = self.site.facts.permissions.connect_timeout / SECOND
-                pool = Pool(host, int(port), side.connections, connect, side.idle_time / SECOND)
+                settings = self.site.servers
+                connect_timeout_s = self.site.facts.permissions.connect_timeout / SECOND
+                pool = Pool(
+                    host, int(port), settings.connections, connect_timeout_s, settings.idle_time / SECOND
+                )
                 self.links[number] = link = _Link(entry, pool)
-                link.notes = asyncio.create_task(self._follow(number, link))
+                link.notes = asyncio.create_task(self._follow_notes(number, link))
             else:
                 link.entry = entry
         self._leaving.update(number for number in change.gone if number in self.links)
@@ -121,67 +126,67 @@
     def carry_out(self, effect: Effect) -> None:
         match effect:
             case fx.SendSetup(sess, attempt):
-                task = self._spawn(self._setup(effect))
+                task = self._spawn(self._send_setup(effect))
                 self.setups[(sess, attempt)] = task
                 task.add_done_callback(lambda _: self.setups.pop((sess, attempt), None))
             case fx.SendTeardown(sess, attempt, server):
-                waiting = self.setups.pop((sess, attempt), None)
-                if waiting is not None:
-                    waiting.cancel()
-                self._spawn(self._teardown(sess, attempt, server))
+                pending = self.setups.pop((sess, attempt), None)
+                if pending is not None:
+                    pending.cancel()
+                self._spawn(self._send_teardown(sess, attempt, server))
             case fx.SendRung():
-                self._spawn(self._rung(effect))
+                self._spawn(self._send_rung(effect))
             case fx.SendProbe(server):
-                self._spawn(self._probe(server))
+                self._spawn(self._send_probe(server))
             case fx.CloseIdle(server):
                 if server in self.links:
                     self.links[server].pool.close_idle()
             case _:
-                raise TypeError(f"{effect} is not for servers")
+                raise TypeError(f"{effect} is not an effect on a media server")
 
-    def _spawn(self, work: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
-        task = asyncio.create_task(work)
+    def _spawn(self, coroutine: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
+        task = asyncio.create_task(coroutine)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
         return task
 
-    async def _setup(self, effect: fx.SendSetup) -> None:
-        link, ask = self.links.get(effect.server), effect.request
+    async def _send_setup(self, effect: fx.SendSetup) -> None:
+        link, request = self.links.get(effect.server), effect.request
         if link is None:
-            self._answered(effect, ev.Result.MOOT)
+            self._setup_answered(effect, ev.Result.MOOT)
             return
         body = {
             "sess": effect.sess,
             "front": self.me,
             "epoch": self.epoch,
             "attempt": effect.attempt,
-            "title": ask.title,
-            "group": ask.service_group,
+            "title": request.title,
+            "group": request.service_group,
             "rung": effect.rung,
-            "top": ask.top,
+            "top": request.top,
             "timeout_us": effect.timeout,
             "attach_us": self.site.servers.attach_time,
         }
-        held = self.engine.find(effect.sess) if self.sends_group_terms else None
-        if held is not None:
-            rates = [rate * held.group.rate_factor for rate in held.ladder.rate_kb]
-            body |= {"group_name": held.group.name, "rates_kb": rates}
+        session = self.engine.find(effect.sess) if self.sends_group_terms else None
+        if session is not None:
+            rates_kb = [rate * session.group.rate_factor for rate in session.ladder.rate_kb]
+            body |= {"group_name": session.group.name, "rates_kb": rates_kb}
         try:
-            # the engine's own timer ends the wait; this one only guards against a lost timer
+            # The engine's timer normally ends the wait; this longer limit holds if that timer is lost.
             answer = await link.pool.request("POST", "/setups", body, effect.timeout / SECOND + 5)
-            got = msgspec.json.decode(answer.body, type=SetupAnswer)
-            if (got.sess, got.attempt) != (effect.sess, effect.attempt):
-                # Guards against a server that answers twice: the second answer would pass for this SETUP's.
+            setup = msgspec.json.decode(answer.body, type=SetupAnswer)
+            if (setup.sess, setup.attempt) != (effect.sess, effect.attempt):
+                # A server that answers twice: the surplus answer would be taken for that of the next SETUP.
                 link.pool.close_idle()
-                raise BrokenError("an answer to another SETUP")
-            result = None if got.result == "started" else _RESULTS.get(got.result, ev.Result.ERROR)
-            self._answered(effect, result, got.report, got.asked)
-        except NotSentError as problem:
-            self._answered(effect, ev.Result.MOOT if problem.pool_full else ev.Result.CONNECT_FAILED)
+                raise BrokenError("the server answered a different SETUP on this connection")
+            result = None if setup.result == "started" else _RESULTS.get(setup.result, ev.Result.ERROR)
+            self._setup_answered(effect, result, setup.report, setup.asked)
+        except NotSentError as error:
+            self._setup_answered(effect, ev.Result.MOOT if error.pool_full else ev.Result.CONNECT_FAILED)
         except (BrokenError, LateError, msgspec.MsgspecError):
-            self._answered(effect, ev.Result.RESET)
+            self._setup_answered(effect, ev.Result.RESET)
 
-    def _answered(
+    def _setup_answered(
         self,
         effect: fx.SendSetup,
         result: ev.Result | None,
@@ -195,126 +200,130 @@
             )
         )
 
-    async def _teardown(self, sess: str, attempt: int, server: int) -> None:
-        """Guards against streams left running: tried again while the server is there to hear it."""
-        for attempt_no in range(TEARDOWN_ATTEMPTS):
+    async def _send_teardown(self, sess: str, attempt: int, server: int) -> None:
+        """Tear down an attempt, with retries while the server is listed, so that no stream goes on."""
+        for failures in range(TEARDOWN_ATTEMPTS):
             link = self.links.get(server)
             if link is None:
                 return
             with contextlib.suppress(NotSentError, BrokenError, LateError):
                 await link.pool.request("DELETE", f"/setups/{sess}/{attempt}", timeout=1.0)
                 return
-            await asyncio.sleep(0.2 * 2**attempt_no)
+            await asyncio.sleep(0.2 * 2**failures)
         self.dropped_teardowns += 1
 
-    async def _rung(self, effect: fx.SendRung) -> None:
+    async def _send_rung(self, effect: fx.SendRung) -> None:
         link = self.links.get(effect.server)
         if link is None:
             return
         path, body = f"/setups/{effect.sess}/{effect.attempt}/rung", {"rung": effect.rung}
         for _ in range(2):
-            held = self.engine.find(effect.sess)
-            if held is None or held.rung != effect.rung:
-                return  # another change has overtaken this one
+            session = self.engine.find(effect.sess)
+            if session is None or session.rung != effect.rung:
+                return  # superseded by a later change
             with contextlib.suppress(NotSentError, BrokenError, LateError):
                 await link.pool.request("PUT", path, body, timeout=1.0)
                 return
 
-    async def _probe(self, server: int) -> None:
-        link, began = self.links.get(server), asyncio.get_running_loop().time()
+    async def _send_probe(self, server: int) -> None:
+        link, started_at = self.links.get(server), asyncio.get_running_loop().time()
         result, report = ev.Result.CONNECT_FAILED, {}
         if link is not None:
             try:
-                timeout = self.site.servers.probe_timeout / SECOND
-                answer = await link.pool.request("GET", "/load", timeout=timeout)
-                got = msgspec.json.decode(answer.body, type=ProbeAnswer)
-                if got.server != server:
-                    raise BrokenError("another server's load")
-                result, report = ev.Result.SERVED, got.report
-            except NotSentError as problem:
-                result = ev.Result.MOOT if problem.pool_full else ev.Result.CONNECT_FAILED
+                timeout_s = self.site.servers.probe_timeout / SECOND
+                answer = await link.pool.request("GET", "/load", timeout=timeout_s)
+                load = msgspec.json.decode(answer.body, type=ProbeAnswer)
+                if load.server != server:
+                    raise BrokenError(f"server {load.server} answered a probe of server {server}")
+                result, report = ev.Result.SERVED, load.report
+            except NotSentError as error:
+                result = ev.Result.MOOT if error.pool_full else ev.Result.CONNECT_FAILED
             except LateError:
                 result = ev.Result.TIMEOUT
             except (BrokenError, msgspec.MsgspecError):
                 result = ev.Result.RESET
-        lag = round((asyncio.get_running_loop().time() - began) * SECOND)
+        lag = round((asyncio.get_running_loop().time() - started_at) * SECOND)
         self.apply(lambda now: self.engine.probe_answered(now, server, lag, result, report))
 
-    async def _follow(self, number: int, link: _Link) -> None:
-        """Keeps the stream of notes up. A server that refuses connections, is silent, or comes back as a new
-        process has lost our sessions."""
+    async def _follow_notes(self, number: int, link: _Link) -> None:
+        """Keep the stream of notes established.
+
+        A server that refuses connections, is silent, or comes back as a new process has lost our sessions. A
+        connection that breaks does not mean that: the next one lists the streams that still run."""
         path = f"/notes?front={self.me}&epoch={self.epoch}"
-        silence, wait, started = self.site.servers.notes_silence / SECOND, 0.05, 0
+        silence_s, retry_wait_s, process_started_us = self.site.servers.notes_silence / SECOND, 0.05, 0
         while True:
-            broken = "closed"
+            reason = "closed"
             try:
-                async for line in link.pool.lines(path, silence):
-                    got = msgspec.json.decode(line, type=NoteLine)
-                    if got.note == "hello":
-                        if not link.up or started != got.started_us:
+                async for line in link.pool.lines(path, silence_s):
+                    note = msgspec.json.decode(line, type=NoteLine)
+                    if note.note == "hello":
+                        if not link.up or process_started_us != note.started_us:
                             log.info("notes-up", server=number)
-                        link.up, wait = True, 0.05
-                        still = frozenset((sess, attempt) for sess, attempt in got.streams)
-                        if started not in (0, got.started_us):
-                            still = frozenset()
-                        started = got.started_us
-                        self._lose(number, still)
-                        self._sweep(number, got.streams)
+                        link.up, retry_wait_s = True, 0.05
+                        still_running = frozenset((sess, attempt) for sess, attempt in note.streams)
+                        if process_started_us not in (0, note.started_us):
+                            still_running = frozenset()
+                        process_started_us = note.started_us
+                        self._end_lost_sessions(number, still_running)
+                        self._tear_down_unknown(number, note.streams)
                     else:
-                        self._noted(number, got)
-            except BrokenError as problem:
-                broken = str(problem)
-                if link.up:  # a connection alone may be lost: what still plays is told on the next one
+                        self._handle_note(number, note)
+            except BrokenError as error:
+                reason = str(error)
+                if link.up:  # perhaps only the connection was lost: the next one lists the streams that run
                     link.up = False
                     continue
-            except (LateError, NotSentError, msgspec.MsgspecError) as problem:
-                broken = str(problem)
+            except (LateError, NotSentError, msgspec.MsgspecError) as error:
+                reason = str(error)
             if link.up or self.engine.sessions_at(number):
-                log.info("notes-lost", server=number, why=broken)
+                log.info("notes-lost", server=number, why=reason)
             link.up = False
-            self._lose(number, frozenset())
+            self._end_lost_sessions(number, frozenset())
             link.pool.close_idle()
-            await asyncio.sleep(wait)
-            wait = min(wait * 2, 1.0)
+            await asyncio.sleep(retry_wait_s)
+            retry_wait_s = min(retry_wait_s * 2, 1.0)
 
-    def _lose(self, number: int, still: frozenset[tuple[str, int]]) -> None:
-        self.apply(lambda now: self.engine.server_lost(now, number, still))
+    def _end_lost_sessions(self, number: int, still_running: frozenset[tuple[str, int]]) -> None:
+        self.apply(lambda now: self.engine.server_lost(now, number, still_running))
 
-    def _sweep(self, number: int, streams: list[tuple[str, int]]) -> None:
-        """Guards against streams left running at a server that was silent while we gave them up."""
+    def _tear_down_unknown(self, number: int, streams: list[tuple[str, int]]) -> None:
+        """Tear down streams whose sessions ended here while their server was silent."""
         for sess, attempt in streams:
-            held = self.engine.find(sess)
-            if held is None or held.end_reason or held.attempt != attempt:
-                self._spawn(self._teardown(sess, attempt, number))
+            session = self.engine.find(sess)
+            if session is None or session.end_reason or session.attempt != attempt:
+                self._spawn(self._send_teardown(sess, attempt, number))
 
-    def _noted(self, number: int, got: NoteLine) -> None:
+    def _handle_note(self, number: int, note: NoteLine) -> None:
         kinds = {
             "delivered": ev.NoteKind.DELIVERED,
             "link": ev.NoteKind.LINK_ASKED,
             "uplink": ev.NoteKind.UPLINK_ASKED,
         }
         if self.hinting is not None:
-            self._hinted(self.hinting, number, got)
-        if got.note == "ended":
-            self.apply(lambda now: self.engine.stream_ended(now, got.sess, got.attempt, got.why))
-        elif got.note in kinds:
-            self.apply(lambda now: self.engine.server_note(now, number, kinds[got.note], got.value))
-
-    def _hinted(self, hinting: Hinting, number: int, got: NoteLine) -> None:
-        """What a server passes on of its players, says of itself, or shows by its notes."""
-        age = round(min(max(got.age_ms, -3.6e6), 3.6e6) * 1000)
-        match got.note:
+            self._pass_hints(self.hinting, number, note)
+        if note.note == "ended":
+            self.apply(lambda now: self.engine.stream_ended(now, note.sess, note.attempt, note.why))
+        elif note.note in kinds:
+            self.apply(lambda now: self.engine.server_note(now, number, kinds[note.note], note.value))
+
+    def _pass_hints(self, hinting: Hinting, number: int, note: NoteLine) -> None:
+        """Pass on hints that a server forwards from players, gives of itself, or implies by notes."""
+        age_us = round(min(max(note.age_ms, -3.6e6), 3.6e6) * 1000)
+        match note.note:
             case "delivered":
-                hinting.measured(number, got.value)
+                hinting.measured(number, note.value)
             case "hints":
-                hinting.passed_on(number, got.sess, got.cmcd, got.cmsd.get("dynamic", ""), got.value, age)
+                hinting.passed_on(
+                    number, note.sess, note.cmcd, note.cmsd.get("dynamic", ""), note.value, age_us
+                )
             case "cmsd":
-                hinting.server_said(number, got.cmsd.get("dynamic", ""), got.cmsd.get("static", ""), age)
+                hinting.server_said(number, note.cmsd.get("dynamic", ""), note.cmsd.get("static", ""), age_us)
             case _:
                 hinting.alive(number)
 
     async def close(self, wait: float) -> None:
-        """Let teardowns under way finish, then close everything."""
+        """Wait up to `wait` seconds for pending requests such as teardowns, then close everything."""
         if self.tasks:
             await asyncio.wait(set(self.tasks), timeout=wait)
         for task in list(self.tasks):
--- a/tests/fleet/test_fleet.py
+++ b/tests/fleet/test_fleet.py
@@ -31,12 +31,12 @@
 SYNCHRONIZED = """
 from ponddoor.front.reconnect import ReconnectSchedule
 ReconnectSchedule._place = lambda self, spread: 0
-ReconnectSchedule.lost = lambda self, now, how, gone=0, stay_away=0: now + 500_000
+ReconnectSchedule.lost = lambda self, now, loss, elapsed=0, min_wait=0: now + 500_000
 """
 EAGER_RETRIES = """
 from ponddoor.front.reconnect import ReconnectSchedule
 ReconnectSchedule._longest_wait = lambda self, left: 500_000
-ReconnectSchedule._next_in_period = lambda self, now, stay_away: now + 500_000
+ReconnectSchedule._next_in_period = lambda self, now, min_wait: now + 500_000
 """
 UNPACED = """
 from ponddoor.decide import Front
--- a/tests/soak/mutants.py
+++ b/tests/soak/mutants.py
@@ -85,7 +85,7 @@
 
 def asks_seldom() -> None:
     """The list is asked once in half a minute."""
-    ReconnectSchedule._next_in_period = lambda self, now, stay_away: now + 30_000_000  # type: ignore[method-assign]
+    ReconnectSchedule._next_in_period = lambda self, now, min_wait: now + 30_000_000  # type: ignore[method-assign]
 
 
 def sends_for_clients_that_left() -> None:
