--- a/ponddoor/capacity/virtual_measure.py
+++ b/ponddoor/capacity/virtual_measure.py
@@ -18,8 +18,8 @@
     FULL_MESH_FRONTS,
     GOSSIP_PERIOD_TARGETS,
     MAX_BACKOFF_DOUBLINGS,
-    MIN_KNOWN_RATIO,
-    MIN_REACH_RATIO,
+    MIN_ACK_RATIO,
+    MIN_UPDATED_RATIO,
     OWNERS_PER_GROUP,
     REPLY_TIMEOUT_US,
     Front,
@@ -121,8 +121,8 @@
             timing,
             FIRST_SETUP_BACKOFF_US << MAX_BACKOFF_DOUBLINGS,
             DEAD_AFTER_ROUNDS * PERIOD,
-            MIN_KNOWN_RATIO,
-            MIN_REACH_RATIO,
+            MIN_UPDATED_RATIO,
+            MIN_ACK_RATIO,
             2,
         )
         self.fleet = Fleet(told, now, terms, 1)
--- a/ponddoor/decide.py
+++ b/ponddoor/decide.py
@@ -64,10 +64,11 @@
 OWNERS_PER_GROUP = 3  # with more fronts
 # Arrival rate that one group is made for, if each front has one arrival in each start target
 ARRIVALS_PER_S_PER_GROUP = 50
-# Demand counts as fully known if this fraction of the fleet has told us its rates ...
-MIN_KNOWN_RATIO = 0.6
-# ... and this fraction answers us
-MIN_REACH_RATIO = 0.4
+# In a group that we own, all demand counts as known if this fraction of the other fronts has sent us all
+# its rates
+MIN_UPDATED_RATIO = 0.6
+# and this fraction of our pings is answered
+MIN_ACK_RATIO = 0.4
 GROUPS_QUERIED = 3  # for one arrival
 REPLY_TIMEOUT_US = SECOND // 12  # for an owner's reply or a probe's answer
 DEAD_AFTER_ROUNDS = 4  # a front that does not answer is dead after so many gossip periods at the earliest
@@ -101,7 +102,7 @@
     are indexed by rack number."""
 
     def __init__(self, facts: SiteFacts, now: int) -> None:
-        self.facts, self.now, self.created_at, self.chance = facts, now, now, SeededRandom(facts.seed)
+        self.facts, self.now, self.started_at, self.chance = facts, now, now, SeededRandom(facts.seed)
         self.table = ServerTable(facts.plant)
         self.servers, self.by_rack = self.table.by_number, self.table.by_rack
         self.uplinks = [LinkState(facts.plant.uplink_kb) for _ in range(facts.plant.racks or 1)]
@@ -131,9 +132,9 @@
             timing,
             FIRST_SETUP_BACKOFF_US << MAX_BACKOFF_DOUBLINGS,
             DEAD_AFTER_ROUNDS * self.gossip_period_us,
-            MIN_KNOWN_RATIO,
-            MIN_REACH_RATIO,
-            2,
+            MIN_UPDATED_RATIO,
+            MIN_ACK_RATIO,
+            2,  # replies to fronts that have just started, per gossip period
         )
         group_count = min(len(self.uplinks), 1 + facts.fronts * SECOND // target // ARRIVALS_PER_S_PER_GROUP)
         self.fleet = Fleet(facts, now, terms, group_count)
@@ -660,7 +661,7 @@
     def uplink_capacity(self, uplink: LinkState, demand_kb: float) -> float:
         """Capacity of an uplink: the nominal one or, after a shortage, the rate that was delivered then.
         While there is no further shortage, it is raised little by little, up to slightly above demand."""
-        since, capacity = uplink.shortage or (self.created_at, uplink.capacity_kb)
+        since, capacity = uplink.shortage or (self.started_at, uplink.capacity_kb)
         if "uplink_asked" in self.facts.report_fields:
             return uplink.capacity_kb
         capacity = max(capacity, uplink.capacity_kb * MIN_UPLINK_RATIO)
@@ -852,14 +853,14 @@
 
         If the server is known to be cold, or was seen down, time is divided into slots of one set-up each and
         the fronts take turns. In N slots at most N set-ups plus one run of them are sent, even if fronts do
-        not hear each other. If this front has just started and nobody says that the server is warm, its own
+        not hear each other. If this front has just started and no front says that the server is warm, its own
         set-ups are spaced by its share of the slots; the first one need not wait for a turn."""
         rules, fronts = self.facts.rules, self.facts.fronts
         known_cold = self.is_cold(server)
         if (
             not known_cold
             and server.seen_down_at is None
-            and (self.now - self.created_at >= rules.cold or self.is_warm(server))
+            and (self.now - self.started_at >= rules.cold or self.is_warm(server))
         ):
             return 0
         if server.unused_grant_at > self.now - REPLY_TIMEOUT_US:
@@ -927,11 +928,11 @@
         session knows that the process has not been restarted."""
         return (
             server.told_warm_at > self.now - self.gossip_period_us
-            or self.has_warming_session(server)
+            or self.has_warm_session(server)
             or self.fleet.counts.is_flagged(server.row.server)
         )
 
-    def has_warming_session(self, server: Server) -> bool:
+    def has_warm_session(self, server: Server) -> bool:
         """Whether a session of ours there is old enough to prove that the server is not cold."""
         return server.has_session_from_before(self.now - self.facts.rules.cold)
 
@@ -1062,7 +1063,7 @@
             (self.facts.asked_discovery, self.watch_servers()),
             (self.probes_report_load, self.probe_servers()),
             (self.fleet.queries_owners, self.answer_queries()),
-            (self.fleet.gossip_enabled, self.fleet.gossip(self.update_known_demand_of, self.demand_messages)),
+            (self.fleet.gossip_enabled, self.fleet.gossip(self.update_known_demand_of, self.rates_for)),
             (self.fleet.gossip_enabled, self.update_owners()),
         ]
         return [script for enabled, script in scripts if enabled]
@@ -1298,7 +1299,7 @@
                 s.take_update(
                     self.now,
                     self.now - (FIRST_SETUP_BACKOFF_US << MAX_BACKOFF_DOUBLINGS),
-                    self.has_warming_session(s),
+                    self.has_warm_session(s),
                 ),
             )
             for s in servers
@@ -1306,10 +1307,10 @@
         ]
         yield from self.fleet.send_changes(rates)
 
-    def demand_messages(self, owner: int) -> list[words.ServerRate]:
-        """Our demand on all servers of the groups that a front owns."""
+    def rates_for(self, owner: int) -> list[words.ServerRate]:
+        """Our demand on each server of the groups that a front owns."""
         return [
-            words.ServerRate(s.row.server, s.own_demand(), warm=self.has_warming_session(s))
+            words.ServerRate(s.row.server, s.own_demand(), warm=self.has_warm_session(s))
             for s in self.table.in_use()
             if owner in self.fleet.other_owners(self.group_of(s))
         ]
@@ -1319,7 +1320,7 @@
         that are cold."""
         yield act.Wait(self.now + SECOND // 10)  # by then the sessions handed over have been recorded
         for turn in itertools.count():
-            yield from self.fleet.refresh(turn, FULL_SYNC_ROUNDS, self.demand_messages)
+            yield from self.fleet.refresh(turn, FULL_SYNC_ROUNDS, self.rates_for)
             yield from self.send_updates(
                 [
                     s
@@ -1328,7 +1329,7 @@
                     or s.unsent_delivery
                     or s.unsent_outcome
                     or s.sent_demand_kb != s.own_demand()
-                    or s.sent_warm != self.has_warming_session(s)
+                    or s.sent_warm != self.has_warm_session(s)
                 ]
             )
             cold = self.table.cold_servers(self.now, self.facts.rules.cold)
