--- a/ponddoor/node/viewers.py
+++ b/ponddoor/node/viewers.py
@@ -224,7 +224,7 @@
         if not usable:
             self._reject_unusable(connection, request.sess, "a parameter is out of range")
             return
-        ask = ViewerRequest(
+        viewer_request = ViewerRequest(
             request.title,
             self.groups.index(request.group),
             0,
@@ -240,45 +240,47 @@
         )
         connection.proven = True
         if request.server:
-            self._take_over(connection, request.sess, ask, server_number(request.server))
+            self._take_over(connection, request.sess, viewer_request, server_number(request.server))
         elif self._is_known(request.sess):
             self._handle_duplicate(connection, request.sess)
         else:
-            self._receive(connection, request.sess, ask)
+            self._receive(connection, request.sess, viewer_request)
 
-    def _take_over(self, connection: ViewerConnection, session: str, ask: ViewerRequest, server: int) -> None:
+    def _take_over(
+        self, connection: ViewerConnection, session: str, viewer_request: ViewerRequest, server: int
+    ) -> None:
         if self._is_known(session):
             return
         stands = self.sessions.hand_over(clock(), session, connection)
         self._mark_used(connection)
         self.session_log.session_standing(session, server, connection.number)
-        self.apply(lambda now: self.engine.handed_over(now, session, ask, server))
+        self.apply(lambda now: self.engine.handed_over(now, session, viewer_request, server))
         self.expect_sessions(server)
         if not stands:  # its viewer's release on another connection was read first
             self.count("released-before-hand-over")
             self._withdraw(session)
 
-    def _receive(self, connection: ViewerConnection, session: str, ask: ViewerRequest) -> None:
+    def _receive(self, connection: ViewerConnection, session: str, viewer_request: ViewerRequest) -> None:
         """Register a request, and submit it once all input that has arrived by now is read.
 
         A request that is withdrawn by input that arrived with it does not reach the engine, where it would
         count as an arrival; the rate of arrivals paces the probes."""
         read_at = clock()
-        self.sessions.receive(read_at, session, connection, ask.wait)
+        self.sessions.receive(read_at, session, connection, viewer_request.wait)
         if self.sessions.received + self.engine.requests_in_hand <= self.engine.gate.limits.in_hand:
-            after_pending_reads(lambda: self._submit(session, ask, read_at))
+            after_pending_reads(lambda: self._submit(session, viewer_request, read_at))
         else:  # over the limit: the engine answers busy at once
-            self._submit(session, ask, read_at)
+            self._submit(session, viewer_request, read_at)
 
-    def _submit(self, session: str, ask: ViewerRequest, read_at: int) -> None:
+    def _submit(self, session: str, viewer_request: ViewerRequest, read_at: int) -> None:
         now = clock()
         record = self.sessions.find(session)
         if record is None or record.since != read_at or not self.sessions.submit(now, session):
             return  # it has ended by now, or the record is that of a later request with the same id
-        wait = max(ask.wait - (now - read_at), 1)
+        wait = max(viewer_request.wait - (now - read_at), 1)
         if self.drain is not None:
             wait = self.drain.time_for(now, wait)
-        self.apply(lambda now: self.engine.request(now, session, replace(ask, wait=wait), None)[1])
+        self.apply(lambda now: self.engine.request(now, session, replace(viewer_request, wait=wait), None)[1])
 
     def _is_known(self, session: str) -> bool:
         return self.sessions.find(session) is not None or self.engine.find(session) is not None
--- a/tests/node/test_crossings.py
+++ b/tests/node/test_crossings.py
@@ -1070,7 +1070,7 @@
             call_before(
                 harness.monkeypatch,
                 harness.node.engine,
-                "left",
+                "viewer_left",
                 lambda *_: harness.servers_by_name["S"].write(
                     b'{"t":"up","ref":"%s","f":{},"d":"x"}\n' % session_id("1").encode()
                 ),
