--- a/ponddoor/config/followers.py
+++ b/ponddoor/config/followers.py
@@ -27,18 +27,18 @@
 from ponddoor.config.machine import Change, Machine, assembled, packed, shown, taken_apart
 from ponddoor.config.rollout import Report
 from ponddoor.front.follower import (
-    CONNECT,
-    LONG,
+    CONNECT_TIMEOUT_US,
+    FULL_STATE_ABSENCE_US,
+    Disconnect,
     Effect,
     Fetch,
     Follower,
-    Keep,
-    Leave,
+    LogEvent,
+    Persist,
     Phase,
-    Say,
+    PutInForce,
+    SendReport,
     State,
-    Take,
-    Tell,
     Watch,
 )
 from ponddoor.front.reconnect import Loss
@@ -144,23 +144,23 @@
     _known_texts: dict[str, dict[str, Listing]] = {}
     _known_sites: dict[str, Site] = {}
 
-    def _form(self, key: str, text: str) -> Listing:
+    def _parse_item(self, key: str, text: str) -> Listing:
         held = self._known_forms.get((key, text))
         if held is None:
-            held = self._known_forms[key, text] = super()._form(key, text)
+            held = self._known_forms[key, text] = super()._parse_item(key, text)
         return held
 
-    def _forms(self, text: str) -> dict[str, Listing]:
+    def _parse_items(self, text: str) -> dict[str, Listing]:
         held = self._known_texts.get(text)
         if held is None:
-            held = self._known_texts[text] = super()._forms(text)
+            held = self._known_texts[text] = super()._parse_items(text)
         return dict(held)
 
-    def _checked(self, state: State) -> Site:
+    def _check_site(self, state: State) -> Site:
         whole = str(assembled(state.items, state.forms))
         held = self._known_sites.get(whole)
         if held is None:
-            held = self._known_sites[whole] = super()._checked(state)
+            held = self._known_sites[whole] = super()._check_site(state)
         for known in (self._known_sites, self._known_forms, self._known_texts):
             if len(known) > 5000:
                 known.clear()
@@ -355,7 +355,7 @@
             held = front.follower
             assert held is not None
             if front not in alone:
-                if not self._well(front) or self.sides[held.at]:
+                if not self._well(front) or self.sides[held.current_instance]:
                     self._say_behind(front)
             elif held.apart_since is None or held.apart_since > began or front.ever != ever:
                 self.fail(
@@ -412,12 +412,12 @@
         assert held is not None
         self.fail(
             f"front {front.number} is at version {held.version} of {self.head}, refused {held.refused}, "
-            f"knows {held.known.number}, {held.phase.value} instance {held.at}"
+            f"knows {held.verified.number}, {held.phase.value} instance {held.current_instance}"
         )
 
     def _at_newest(self, front: Front) -> bool:
         held = front.follower
-        if held is None or held.keeping is not None:
+        if held is None or held.pending_write is not None:
             return False
         if held.version == self.head:
             return True
@@ -427,7 +427,12 @@
     def _well(self, front: Front) -> bool:
         """At the newest, and with an instance that has a leader."""
         held = front.follower
-        well = held is not None and held.phase is Phase.WATCHING and held.met and held.apart_since is None
+        well = (
+            held is not None
+            and held.phase is Phase.WATCHING
+            and held.usable_line_received
+            and held.apart_since is None
+        )
         return well and self._at_newest(front)
 
     def _newest_of(self, front: Front, least: int) -> None:
@@ -569,7 +574,7 @@
         here, there = INSTANCES + front.number, wants.instance
         arrives = self.transmit(here, there, self.links, lambda: self._accept(connection))
         if not arrives:
-            self.schedule_at(self.now + CONNECT, lambda: self._ends(connection, Loss.LATE))
+            self.schedule_at(self.now + CONNECT_TIMEOUT_US, lambda: self._ends(connection, Loss.LATE))
 
     def _accept(self, connection: Connection) -> None:
         instance, front = connection.instance, connection.front
@@ -577,10 +582,10 @@
         if connection.left:
             return
         if self.is_partitioned(there, here):
-            self.schedule_at(self.now + CONNECT, lambda: self._ends(connection, Loss.LATE))
+            self.schedule_at(self.now + CONNECT_TIMEOUT_US, lambda: self._ends(connection, Loss.LATE))
             return
         if instance.dead:
-            self.schedule_at(self.now + CONNECT, lambda: self._ends(connection, Loss.LATE))
+            self.schedule_at(self.now + CONNECT_TIMEOUT_US, lambda: self._ends(connection, Loss.LATE))
             return
         if not instance.up:
             self.schedule_after(500, 20_000, lambda: self._ends(connection, Loss.REFUSED))
@@ -597,7 +602,7 @@
             self._send(connection, "whole", (held.number, held.text, held.digest))
             return
         self.found.watches += 1
-        long = self.now - front.heard_at > LONG + SECOND
+        long = self.now - front.heard_at > FULL_STATE_ABSENCE_US + SECOND
         if long and connection.wants.after < instance.applied and front.whole_at <= front.heard_at:
             self.fail(f"front {front.number} makes up for a long absence step by step")
         after = connection.wants.after
@@ -714,38 +719,38 @@
         if front.connection is connection:
             front.connection = None
         connection.left = True
-        self._carry_out(front, front.follower.lost(self.now, connection.wants.instance, how))
+        self._carry_out(front, front.follower.connection_lost(self.now, connection.wants.instance, how))
 
     def _arrives(self, connection: Connection, what: str, held: Any, right: bool) -> None:
         front, instance = connection.front, connection.wants.instance
         if self._stale(connection) or front.follower is None:
             return
         core, stale = front.follower, front.connection is not connection
-        right = right or (what == "whole" and held[0] == core.known.number)  # its text is not looked at
+        right = right or (what == "whole" and held[0] == core.verified.number)  # its text is not looked at
         if not right:
             front.wholes = 0
         elif not stale and what == "line":
             front.heard_at = self.now
         match what:
             case "line":
-                effects = core.line(self.now, instance, held)
+                effects = core.receive_line(self.now, instance, held)
                 if right and held.startswith(b'{"beat"') and not stale:
                     front.wholes = 0
             case "whole":
                 number, text, digest = held
-                awaited = core.phase is Phase.FETCHING and core.at == instance and not stale
-                if right and awaited and number >= core.known.number:
+                awaited = core.phase is Phase.FETCHING and core.current_instance == instance and not stale
+                if right and awaited and number >= core.verified.number:
                     front.wholes, front.whole_at = front.wholes + 1, self.now
                     if front.wholes > 1:
                         self.fail(f"front {front.number} asked for the whole state twice in an absence")
                 connection.left = True
-                effects = core.whole(self.now, instance, number, text, digest)
+                effects = core.receive_full_state(self.now, instance, number, text, digest)
             case "not-kept":
                 connection.left, front.wholes = True, 0  # there is no other way from here
-                effects = core.not_kept(self.now, instance, held)
+                effects = core.history_unavailable(self.now, instance, held)
             case _:
                 connection.left = True
-                effects = core.lost(self.now, instance, Loss.TURNED_AWAY, 0, SECOND)
+                effects = core.connection_lost(self.now, instance, Loss.TURNED_AWAY, 0, SECOND)
         self._carry_out(front, effects)
 
     def _some_cut(self) -> None:
@@ -815,15 +820,15 @@
             match effect:
                 case Watch() | Fetch():
                     self._connect(front, effect)
-                case Leave():
+                case Disconnect():
                     self._leave(front)
-                case Keep(number, data):
+                case Persist(number, data):
                     self._keep(front, number, data)
-                case Take():
+                case PutInForce():
                     self._takes(front, effect)
-                case Tell(instance, report):
+                case SendReport(instance, report):
                     self._tell(front, instance, report)
-                case Say(_, event, _):
+                case LogEvent(_, event, _):
                     self.found.refused += event == "config-refused"
         self._timed(front)
 
@@ -841,7 +846,7 @@
 
     def _told(self, front: Front, life: int, ok: bool) -> None:
         if front.life == life and front.follower is not None:
-            self._carry_out(front, front.follower.told(self.now, ok))
+            self._carry_out(front, front.follower.report_finished(self.now, ok))
 
     def _keep(self, front: Front, number: int, data: bytes) -> None:
         if front.writing is not None:
@@ -859,9 +864,9 @@
         ok = not (self.faults_enabled and self.rng.random() < self.plan.disk_errors)
         if ok:
             front.disk = data
-        self._carry_out(front, front.follower.kept(self.now, number, ok))
+        self._carry_out(front, front.follower.write_finished(self.now, number, ok))
 
-    def _takes(self, front: Front, take: Take) -> None:
+    def _takes(self, front: Front, take: PutInForce) -> None:
         """A version is in force: it must not be older, must be what was committed, and usable."""
         self.found.taken += 1
         again = front.serving is None and take.number == front.ever
@@ -897,7 +902,7 @@
         if front.life != life or front.follower is None or front.timer != moment:
             return
         front.timer = -1
-        self._carry_out(front, front.follower.due(self.now))
+        self._carry_out(front, front.follower.run_due(self.now))
 
     def check_invariants(self) -> None:
         """After each step: what a front says is in force is what it took, and it never says less."""
--- a/ponddoor/config/followers_mutants.py
+++ b/ponddoor/config/followers_mutants.py
@@ -12,57 +12,57 @@
 class GoesBack(Quick):
     """Takes what an instance has, older or newer."""
 
-    def _newer(self, number: int) -> bool:
+    def _newer_than_in_force(self, number: int) -> bool:
         return number != self.version
 
-    def _lags(self, number: int) -> bool:
+    def _behind_own_state(self, number: int) -> bool:
         return False
 
-    def _advances(self, number: int) -> bool:
-        return number != self.known.number
+    def _newer_than_verified(self, number: int) -> bool:
+        return number != self.verified.number
 
 
 class Partial(Quick):
     """Takes what comes, whatever it follows, finds or adds up to."""
 
-    def _next(self, line: Any) -> bool:
+    def _is_next_version(self, line: Any) -> bool:
         return True
 
-    def _follows(self, line: Any) -> bool:
+    def _matches_held_items(self, line: Any) -> bool:
         return True
 
-    def _same(self, digest: str, told: str) -> bool:
+    def _digest_matches(self, digest: str, told: str) -> bool:
         return True
 
 
 class Gullible(Quick):
     """Does not look at the digest."""
 
-    def _same(self, digest: str, told: str) -> bool:
+    def _digest_matches(self, digest: str, told: str) -> bool:
         return True
 
 
 class Careless(Quick):
     """Takes what this front can't use."""
 
-    def _reasons(self, site: Site) -> tuple[str, ...]:
+    def _rejection_reasons(self, site: Site) -> tuple[str, ...]:
         return ()
 
 
 class Forgetful(Quick):
     """Begins with nothing, whatever was kept."""
 
-    def _restored(self, kept: bytes) -> tuple[State, State]:
+    def _restore(self, kept: bytes) -> tuple[State, State]:
         return State(), State()
 
 
 class Undated(Quick):
     """Tells the life that its clock says, whatever it told before."""
 
-    def _restored(self, kept: bytes) -> tuple[State, State]:
+    def _restore(self, kept: bytes) -> tuple[State, State]:
         wall = self.life
         try:
-            return super()._restored(kept)
+            return super()._restore(kept)
         finally:
             self.life = wall
 
@@ -70,14 +70,14 @@
 class Hasty(Quick):
     """A version is in force first and kept afterwards."""
 
-    def _kept_first(self) -> bool:
+    def _persists_first(self) -> bool:
         return False
 
 
 class Content(Quick):
     """Beats alone are enough."""
 
-    def _misses(self, now: int) -> bool:
+    def _lines_overdue(self, now: int) -> bool:
         return False
 
 
@@ -92,21 +92,21 @@
 class Greedy(Quick):
     """Asks for the whole state wherever it comes to."""
 
-    def _long_absent(self, now: int) -> bool:
+    def _needs_full_state(self, now: int) -> bool:
         return True
 
 
 class StepByStep(Quick):
     """Never asks for the whole state by itself: an absence is made up for step by step."""
 
-    def _long_absent(self, now: int) -> bool:
+    def _needs_full_state(self, now: int) -> bool:
         return False
 
 
 class LastOnly(Quick):
     """Of a burst it looks at the last alone."""
 
-    def _earlier(self) -> list[State]:
+    def _earlier_in_burst(self) -> list[State]:
         return []
 
 
@@ -121,26 +121,26 @@
 class Homeless(Quick):
     """Asks around as fast while all are apart as when one is."""
 
-    def _apart(self, now: int) -> list[Any]:
-        self.bad.clear()
-        return super()._apart(now)
+    def _leader_unknown(self, now: int) -> list[Any]:
+        self.unhealthy.clear()
+        return super()._leader_unknown(now)
 
 
 class Loyal(Quick):
     """Stays with an instance that has heard of no leader."""
 
-    def _apart(self, now: int) -> list[Any]:
-        out = super()._apart(now)
-        self.move_at = None
+    def _leader_unknown(self, now: int) -> list[Any]:
+        out = super()._leader_unknown(now)
+        self.switch_at = None
         return out
 
 
 class Mute(Quick):
     """Tells what it has in force when it comes to an instance, and not when it changes."""
 
-    def _soon(self, now: int) -> None:
-        if not self.reports:
-            super()._soon(now)
+    def _schedule_report(self, now: int) -> None:
+        if not self.reports_made:
+            super()._schedule_report(now)
 
 
 def restarting(seed: int) -> Schedule:
--- a/ponddoor/front/following.py
+++ b/ponddoor/front/following.py
@@ -17,16 +17,16 @@
 import structlog
 
 from ponddoor.front.follower import (
-    CONNECT,
-    MOST_LINE,
+    CONNECT_TIMEOUT_US,
+    MAX_LINE_BYTES,
+    Disconnect,
     Effect,
     Fetch,
     Follower,
-    Keep,
-    Leave,
-    Say,
-    Take,
-    Tell,
+    LogEvent,
+    Persist,
+    PutInForce,
+    SendReport,
     Watch,
 )
 from ponddoor.front.pump import SECOND, clock
@@ -59,7 +59,7 @@
         self,
         follower: Follower,
         instances: tuple[Address, ...],
-        take: Callable[[Take], None],
+        take: Callable[[PutInForce], None],
         kept: Path | None,
     ) -> None:
         self.follower, self.instances, self._take, self._file = follower, instances, take, kept
@@ -90,9 +90,9 @@
         pending, effects = list[Effect](), self.follower.begin(clock(), wall_clock_us(), data)
         while effects:
             effect = effects.pop(0)
-            if isinstance(effect, Keep):
-                effects += self.follower.kept(clock(), effect.number, self._write(effect.data))
-            elif isinstance(effect, Take):
+            if isinstance(effect, Persist):
+                effects += self.follower.write_finished(clock(), effect.number, self._write(effect.data))
+            elif isinstance(effect, PutInForce):
                 self._take(effect)
             else:
                 pending.append(effect)
@@ -158,12 +158,12 @@
 
     def _due(self) -> None:
         self._timer, self._due_waits = None, True
-        decide = self.follower.decide_at
+        decide = self.follower.evaluate_at
         self._soon(self._fall_due, decide is not None and decide <= clock())
 
     def _fall_due(self, now: int) -> list[Effect]:
         self._due_waits = False
-        return self.follower.due(now)
+        return self.follower.run_due(now)
 
     def _count(self, what: str) -> None:
         self.counts[what] = self.counts.get(what, 0) + 1
@@ -176,15 +176,15 @@
                 self._connect(self._watch(self._turn + 1, instance, after))
             case Fetch(instance):
                 self._connect(self._fetch(self._turn + 1, instance))
-            case Leave():
+            case Disconnect():
                 self._connect(None)
-            case Keep(number, data):
+            case Persist(number, data):
                 self._start(self._keep(number, data))
-            case Take():
+            case PutInForce():
                 self._take(effect)
-            case Tell():
+            case SendReport():
                 self._start(self._tell(effect))
-            case Say(level, event, detail):
+            case LogEvent(level, event, detail):
                 getattr(log, level)(event, detail=detail, front=self.follower.me)
                 if event == "config-refused" and self.refused is not None:
                     self.refused(*self.follower.refused)
@@ -205,11 +205,11 @@
 
     async def _watch(self, turn: int, instance: int, after: int) -> None:
         host, port = self.instances[instance]
-        pool = Pool(host, port, 1, CONNECT / SECOND)
+        pool = Pool(host, port, 1, CONNECT_TIMEOUT_US / SECOND)
         path = f"/config/watch?after={after}&front={self.follower.me}"
         try:
             # The core ends a silence by its own clock; this one only guards against a lost timer
-            async for line in pool.lines(path, 2 * self.follower.silence / SECOND, MOST_LINE):
+            async for line in pool.lines(path, 2 * self.follower.silence / SECOND, MAX_LINE_BYTES):
                 came = partial(self._of, turn, self._line, instance, line)
                 await self._calls.put((came, len(line) > LONG_LINE))
             lost = partial(self._of, turn, self._lost, instance, Loss.BROKEN, 0)
@@ -229,7 +229,7 @@
 
     async def _fetch(self, turn: int, instance: int) -> None:
         host, port = self.instances[instance]
-        pool = Pool(host, port, 1, CONNECT / SECOND, most_body=MOST_WHOLE)
+        pool = Pool(host, port, 1, CONNECT_TIMEOUT_US / SECOND, most_body=MOST_WHOLE)
         try:
             answer = await pool.request("GET", "/config/file", timeout=self.follower.silence / SECOND)
             if answer.status != 200:
@@ -258,16 +258,16 @@
         return []
 
     def _line(self, instance: int, line: bytes, now: int) -> list[Effect]:
-        return self.follower.line(now, instance, line)
+        return self.follower.receive_line(now, instance, line)
 
     def _whole(self, instance: int, number: int, text: str, digest: str, now: int) -> list[Effect]:
-        return self.follower.whole(now, instance, number, text, digest)
+        return self.follower.receive_full_state(now, instance, number, text, digest)
 
     def _not_kept(self, instance: int, newest: int, now: int) -> list[Effect]:
-        return self.follower.not_kept(now, instance, newest)
+        return self.follower.history_unavailable(now, instance, newest)
 
     def _lost(self, instance: int, how: Loss, stay_away: int, now: int) -> list[Effect]:
-        return self.follower.lost(now, instance, how, 0, stay_away)
+        return self.follower.connection_lost(now, instance, how, 0, stay_away)
 
     def _how(self, problem: Exception) -> Loss:
         match problem:
@@ -281,9 +281,9 @@
                 return Loss.TURNED_AWAY
         return Loss.BROKEN
 
-    async def _tell(self, effect: Tell) -> None:
+    async def _tell(self, effect: SendReport) -> None:
         host, port = self.instances[effect.instance]
-        pool = Pool(host, port, 1, CONNECT / SECOND)
+        pool = Pool(host, port, 1, CONNECT_TIMEOUT_US / SECOND)
         why = ""
         try:
             answer = await pool.request("POST", "/config/fronts", effect.report, ANSWER)
@@ -297,7 +297,7 @@
         await self._calls.put((partial(self._told, not why), False))
 
     def _told(self, ok: bool, now: int) -> list[Effect]:
-        return self.follower.told(now, ok)
+        return self.follower.report_finished(now, ok)
 
     # The disk
 
@@ -306,7 +306,7 @@
         await self._calls.put((partial(self._kept, number, ok), False))
 
     def _kept(self, number: int, ok: bool, now: int) -> list[Effect]:
-        return self.follower.kept(now, number, ok)
+        return self.follower.write_finished(now, number, ok)
 
     def _write(self, data: bytes) -> bool:
         """Written beside and renamed in, so that a crash leaves the old state or the new one; the folder is
--- a/ponddoor/front/process.py
+++ b/ponddoor/front/process.py
@@ -19,7 +19,7 @@
 from ponddoor.front.acting import ActiveMechanisms, DeadFronts, unchanged_decisions
 from ponddoor.front.effects import Effect
 from ponddoor.front.engine import Engine
-from ponddoor.front.follower import Follower, Take
+from ponddoor.front.follower import Follower, PutInForce
 from ponddoor.front.following import Following
 from ponddoor.front.hinting import Hinting
 from ponddoor.front.limits import SAMPLE_PERIOD_US, AdmissionGate, LagMeter
@@ -271,7 +271,7 @@
         held = self._terms
         return unusable_at_start(self._own, version) if held is None else unusable(held, version)
 
-    def _take(self, version: Take) -> None:
+    def _take(self, version: PutInForce) -> None:
         """Put a version in force: before the start it is the site, later it is taken between two turns of the
         engine, whole before anything else runs."""
         if self._terms is None:
@@ -283,7 +283,7 @@
         if self._noted is not None:
             self._noted("in-force", front=self.me, version=version.number, digest=version.digest)
 
-    def _put_in_force(self, now: int, version: Take) -> list[Effect]:
+    def _put_in_force(self, now: int, version: PutInForce) -> list[Effect]:
         held = self.terms
         self._terms = self.viewers.terms = fresh = taken(held, version.site, version.number, version.digest)
         self.site = site = fresh.site
--- a/ponddoor/rehearse/hollow_following.py
+++ b/ponddoor/rehearse/hollow_following.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from ponddoor.audit.records import Recorder
-from ponddoor.front.follower import Follower, Take
+from ponddoor.front.follower import Follower, PutInForce
 from ponddoor.front.following import Following
 from ponddoor.interface.facts import SiteFacts
 from ponddoor.settings.site import Address, Site
@@ -55,7 +55,7 @@
         def usable(site: Site) -> tuple[str, ...]:
             return ()
 
-        def take(effect: Take) -> None:
+        def take(effect: PutInForce) -> None:
             self.note("in-force", front=me, version=effect.number, digest=effect.digest)
 
         follower = Follower(
--- a/tests/following/test_core.py
+++ b/tests/following/test_core.py
@@ -9,17 +9,17 @@
 from ponddoor.config.followers import BASE, committed
 from ponddoor.config.machine import Change, Machine, assembled, digest_of, packed, taken_apart
 from ponddoor.front.follower import (
-    EVEN,
-    MOST_LINE,
+    MAX_LINE_BYTES,
+    OUTAGE_RETRY_PERIOD_US,
+    Disconnect,
     Effect,
     Fetch,
     Follower,
-    Keep,
-    Leave,
+    LogEvent,
+    Persist,
     Phase,
-    Say,
-    Take,
-    Tell,
+    PutInForce,
+    SendReport,
     Watch,
 )
 from ponddoor.front.reconnect import MIN_RETRY_INTERVAL_US, REDIRECT_LIMIT_US, Loss, ReconnectSchedule
@@ -51,12 +51,12 @@
         """Carry out, with each writing done at once."""
         for effect in effects:
             self.done.append(effect)
-            if isinstance(effect, Keep):
-                assert self.core.keeping is not None
+            if isinstance(effect, Persist):
+                assert self.core.pending_write is not None
                 self.disk = self.disk if self.fails else effect.data
-                self.on(self.core.kept(self.now, effect.number, not self.fails))
-            if isinstance(effect, Tell):
-                self.on(self.core.told(self.now, True))
+                self.on(self.core.write_finished(self.now, effect.number, not self.fails))
+            if isinstance(effect, SendReport):
+                self.on(self.core.report_finished(self.now, True))
         return self
 
     def wait(self, time: int) -> "Front":
@@ -64,7 +64,7 @@
         end = self.now + time
         while (due := self.core.next_due) is not None and due <= end:
             self.now = max(due, self.now)
-            self.on(self.core.due(self.now))
+            self.on(self.core.run_due(self.now))
         self.now = end
         return self
 
@@ -73,11 +73,13 @@
         while self.core.phase is Phase.AWAY:
             self.wait(SECOND // 10)
         held = LOG[number - 1]
-        self.on(self.core.whole(self.now, self.core.at, number, held.text, held.digest))
+        self.on(
+            self.core.receive_full_state(self.now, self.core.current_instance, number, held.text, held.digest)
+        )
         return self.wait(0)
 
     def line(self, data: bytes) -> "Front":
-        return self.on(self.core.line(self.now, self.core.at, data))
+        return self.on(self.core.receive_line(self.now, self.core.current_instance, data))
 
     def lines(self, first: int, last: int) -> "Front":
         for held in LOG[first - 1 : last]:
@@ -88,13 +90,13 @@
         return self.line(msgspec.json.encode({"beat": number, "apart": apart}))
 
     def taken(self) -> list[int]:
-        return [effect.number for effect in self.done if isinstance(effect, Take)]
+        return [effect.number for effect in self.done if isinstance(effect, PutInForce)]
 
     def last(self, kind: type[Effect]) -> Effect | None:
         return next((effect for effect in reversed(self.done) if isinstance(effect, kind)), None)
 
     def said(self) -> list[str]:
-        return [effect.event for effect in self.done if isinstance(effect, Say)]
+        return [effect.event for effect in self.done if isinstance(effect, LogEvent)]
 
 
 FIRST = next(number for number in range(10, 100) if all(good(one) for one in range(number, number + 6)))
@@ -106,7 +108,7 @@
     front = Front().begun(first)
     for held in LOG[first:]:
         front.line(held.line).wait(SECOND // 5)
-        assert (front.core.known.number, front.core.known.digest) == (held.number, held.digest)
+        assert (front.core.verified.number, front.core.verified.digest) == (held.number, held.digest)
     assert front.core.counts["fetches"] == 1 and front.core.counts["differs"] == 0
 
 
@@ -142,15 +144,15 @@
 
 def test_a_version_is_kept_before_it_is_in_force() -> None:
     front = Front().begun(FIRST)
-    front.core.line(front.now, front.core.at, LOG[FIRST].line)
+    front.core.receive_line(front.now, front.core.current_instance, LOG[FIRST].line)
     front.now += SECOND // 5
-    [keep] = [effect for effect in front.core.due(front.now) if not isinstance(effect, Tell)]
-    assert isinstance(keep, Keep) and front.core.version == FIRST
-    [take] = front.core.kept(front.now, keep.number, True)
+    [keep] = [effect for effect in front.core.run_due(front.now) if not isinstance(effect, SendReport)]
+    assert isinstance(keep, Persist) and front.core.version == FIRST
+    [take] = front.core.write_finished(front.now, keep.number, True)
     assert (
-        isinstance(take, Take)
+        isinstance(take, PutInForce)
         and take.number == FIRST + 1
-        and front.core.kept(front.now, keep.number, True) == []
+        and front.core.write_finished(front.now, keep.number, True) == []
     )
     again = Front(keep.data)
     assert again.taken() == [FIRST + 1] and again.core.digest == LOG[FIRST].digest
@@ -177,27 +179,27 @@
 def test_what_comes_twice_or_late_changes_nothing() -> None:
     front = Front().begun(FIRST).lines(FIRST + 1, FIRST + 1).lines(FIRST - 3, FIRST + 1)
     assert front.taken() == [FIRST, FIRST + 1] and front.core.counts["doubled"] == 5
-    other = (front.core.at + 1) % 5
-    assert front.core.line(front.now, other, LOG[FIRST + 1].line) == []
-    assert front.core.whole(front.now, other, 99, LOG[98].text) == []
-    assert front.core.lost(front.now, other, Loss.BROKEN) == [] and front.core.counts["late"] == 3
+    other = (front.core.current_instance + 1) % 5
+    assert front.core.receive_line(front.now, other, LOG[FIRST + 1].line) == []
+    assert front.core.receive_full_state(front.now, other, 99, LOG[98].text) == []
+    assert front.core.connection_lost(front.now, other, Loss.BROKEN) == [] and front.core.counts["late"] == 3
 
 
 @pytest.mark.parametrize("data", [
     b"", b"{}", b"[[", b"\xff\xfe", b'{"beat":-1}', b'{"version":0}', b'{"version":"4"}', b'{"beat":1e99}',
-    b'{"version":%d,"steps":[{"key":"limits"}]}' % (FIRST + 1), b"[" * 100_000, b" " * (MOST_LINE + 1),
+    b'{"version":%d,"steps":[{"key":"limits"}]}' % (FIRST + 1), b"[" * 100_000, b" " * (MAX_LINE_BYTES + 1),
     b'{"version":9007199254740993}', LOG[FIRST].line[:-9],
     b'{"version":%d,"steps":[{"key":"x/y","before":null,"after":"(x"}]}' % (FIRST + 1),
     b'{"version":%d,"steps":[{"key":"titles/q","before":null,"after":"%s"}]}' % (FIRST + 1, b"(" * 50_000),
 ], ids=range(15))  # fmt: skip
 def test_nonsense_is_counted_and_left(data: bytes) -> None:
     front = Front().begun(FIRST).beat(FIRST)
-    first = front.core.at
+    first = front.core.current_instance
     front.line(data)
     assert front.core.counts["nonsense"] + front.core.counts["oversize"] == 1
-    assert isinstance(front.last(Leave), Leave) and front.core.at != first
+    assert isinstance(front.last(Disconnect), Disconnect) and front.core.current_instance != first
     front.wait(2 * SECOND)
-    assert isinstance(front.last(Watch), Watch) and front.core.version == front.core.known.number == FIRST
+    assert isinstance(front.last(Watch), Watch) and front.core.version == front.core.verified.number == FIRST
     for _ in range(3 * 5):
         front.line(data).wait(20 * SECOND)
     assert Counter(front.said())["config-nonsense"] + Counter(front.said())["config-oversize"] <= 5
@@ -205,17 +207,21 @@
 
 def test_of_a_gap_what_is_missing_is_asked_for() -> None:
     front = Front().begun(FIRST).line(LOG[FIRST + 1].line)
-    assert front.last(Watch) == Watch(front.core.at, FIRST)
-    first = front.core.at
+    assert front.last(Watch) == Watch(front.core.current_instance, FIRST)
+    first = front.core.current_instance
     front.line(LOG[FIRST + 1].line)
-    assert front.core.at != first and front.core.counts["gap"] == 2  # it does not have what is missing
+    assert (
+        front.core.current_instance != first and front.core.counts["gap"] == 2
+    )  # it does not have what is missing
 
 
 def test_beats_of_what_does_not_come_are_asked_about() -> None:
     front = Front().begun(FIRST)
     for _ in range(3):
         front.beat(FIRST + 2).wait(SECOND)
-    assert front.core.counts["missing-lines"] == 1 and front.last(Watch) == Watch(front.core.at, FIRST)
+    assert front.core.counts["missing-lines"] == 1 and front.last(Watch) == Watch(
+        front.core.current_instance, FIRST
+    )
     front.lines(FIRST + 1, FIRST + 2).beat(FIRST + 2)
     assert front.core.version == FIRST + 2
 
@@ -229,7 +235,7 @@
         line["steps"][0]["before"] = "(limits (held 3))"
     front = Front().begun(FIRST).lines(FIRST + 1, FIRST + 1)
     front.line(msgspec.json.encode(line)).wait(SECOND // 5)
-    assert front.taken() == [FIRST, FIRST + 1] and front.core.ahead is front.core.known
+    assert front.taken() == [FIRST, FIRST + 1] and front.core.unverified is front.core.verified
     assert front.core.phase is Phase.FETCHING and front.core.counts["fetches"] == 2
     front.begun(FIRST + 2)
     assert front.taken() == [FIRST, FIRST + 1, FIRST + 2]
@@ -249,10 +255,10 @@
 )
 def test_a_whole_state_that_is_not_whole(text: str, digest: str) -> None:
     front = Front().begun(FIRST - 1).lines(FIRST, FIRST)
-    front.on(front.core.not_kept(front.now, front.core.at))
-    assert front.last(Fetch) == Fetch(front.core.at)
-    front.on(front.core.whole(front.now, front.core.at, 41, text, digest))
-    assert front.core.known.number == FIRST and front.core.counts["nonsense"] == 1
+    front.on(front.core.history_unavailable(front.now, front.core.current_instance))
+    assert front.last(Fetch) == Fetch(front.core.current_instance)
+    front.on(front.core.receive_full_state(front.now, front.core.current_instance, 41, text, digest))
+    assert front.core.verified.number == FIRST and front.core.counts["nonsense"] == 1
     assert front.core.phase is Phase.AWAY
 
 
@@ -261,8 +267,8 @@
     assert front.taken() == [BAD - 1] and front.core.refused == (BAD, "no front can")
     for _ in range(6):
         front.beat(BAD).wait(SECOND)
-    told = front.last(Tell)
-    assert isinstance(told, Tell) and (told.report.version, told.report.refused) == (BAD - 1, BAD)
+    told = front.last(SendReport)
+    assert isinstance(told, SendReport) and (told.report.version, told.report.refused) == (BAD - 1, BAD)
     after = next(number for number in range(BAD, 120) if good(number))
     front = Front().begun(BAD - 1).lines(BAD, BAD).lines(BAD + 1, after)
     assert front.taken() == [BAD - 1, after] and front.core.refused == (0, "")
@@ -279,16 +285,16 @@
     front.lines(FIRST + 1, FIRST + 1)
     assert front.taken() == [FIRST]
     again = Front(front.disk)
-    assert [type(effect) for effect in again.done] == [Keep, Take] and again.taken() == [FIRST + 1]
+    assert [type(effect) for effect in again.done] == [Persist, PutInForce] and again.taken() == [FIRST + 1]
     assert Front(again.disk).taken() == [FIRST + 1]
 
 
 def test_a_first_version_that_was_refused_is_taken_at_the_next_start() -> None:
     core = Follower(0, 10, 5, 7, 3 * SECOND, Path(), lambda site: ("not in service",))
     core.begin(0, 1, b"")
-    core.due(core.next_due or 0)
-    core.whole(SECOND, core.at, FIRST, LOG[FIRST - 1].text, LOG[FIRST - 1].digest)
-    [keep] = [effect for effect in core.due(SECOND) if isinstance(effect, Keep)]
+    core.run_due(core.next_due or 0)
+    core.receive_full_state(SECOND, core.current_instance, FIRST, LOG[FIRST - 1].text, LOG[FIRST - 1].digest)
+    [keep] = [effect for effect in core.run_due(SECOND) if isinstance(effect, Persist)]
     again = Front(keep.data)
     assert again.taken() == [FIRST] and again.core.refused == (0, "")
     still = Follower(0, 10, 5, 7, 3 * SECOND, Path(), lambda site: ("not in service",))
@@ -315,8 +321,10 @@
     front.lines(FIRST + 1, FIRST + 1)
     core = Follower(0, 10, 5, 7, 3 * SECOND, Path(), lambda site: ())
     [keep] = core.begin(0, 2, front.disk)
-    assert isinstance(keep, Keep)
-    takes = [effect for effect in core.kept(0, keep.number, False) if isinstance(effect, Take)]
+    assert isinstance(keep, Persist)
+    takes = [
+        effect for effect in core.write_finished(0, keep.number, False) if isinstance(effect, PutInForce)
+    ]
     assert [take.number for take in takes] == [FIRST]
 
 
@@ -347,23 +355,31 @@
     for _ in range(10):
         while front.core.phase is Phase.AWAY:
             front.wait(SECOND // 10)
-        front.on(front.core.whole(front.now, front.core.at, 1, LOG[0].text, LOG[0].digest))
+        front.on(
+            front.core.receive_full_state(
+                front.now, front.core.current_instance, 1, LOG[0].text, LOG[0].digest
+            )
+        )
     assert front.taken() == [FIRST] and front.said().count("config-ahead-of-all") == 1
-    told = front.last(Tell)
-    assert isinstance(told, Tell) and told.report.version == FIRST
+    told = front.last(SendReport)
+    assert isinstance(told, SendReport) and told.report.version == FIRST
     front = Front().begun(FIRST).beat(FIRST)
-    front.on(front.core.not_kept(front.now, front.core.at, 1))
+    front.on(front.core.history_unavailable(front.now, front.core.current_instance, 1))
     assert front.core.counts["fetches"] == 1 and front.core.counts["lagging"] == 1  # nothing more was asked
     front.wait(2 * SECOND)
-    front.on(front.core.not_kept(front.now, front.core.at, 99))
-    assert front.last(Fetch) == Fetch(front.core.at)
+    front.on(front.core.history_unavailable(front.now, front.core.current_instance, 99))
+    assert front.last(Fetch) == Fetch(front.core.current_instance)
 
 
 def test_another_history_under_the_same_number_is_told() -> None:
     front = Front(Front().begun(FIRST).disk)
     while front.core.phase is Phase.AWAY:
         front.wait(SECOND // 10)
-    front.on(front.core.whole(front.now, front.core.at, FIRST, LOG[0].text, LOG[0].digest))
+    front.on(
+        front.core.receive_full_state(
+            front.now, front.core.current_instance, FIRST, LOG[0].text, LOG[0].digest
+        )
+    )
     assert "config-forked" in front.said() and front.core.digest == LOG[FIRST - 1].digest
 
 
@@ -382,15 +398,15 @@
 
 def test_silence_and_apart_turn_to_another_and_all_apart_to_none() -> None:
     front = Front().begun(FIRST)
-    first = front.core.at
+    first = front.core.current_instance
     front.wait(3 * SECOND)
-    assert front.core.at != first and front.core.counts["silent"] == 1
+    assert front.core.current_instance != first and front.core.counts["silent"] == 1
     front = Front().begun(FIRST)
     for _ in range(40):
         if front.core.phase is Phase.WATCHING:
             front.beat(FIRST, apart=True)
         front.wait(SECOND // 2)
-    assert front.core.bad == set(range(5)) and front.said().count("config-apart") == 1
+    assert front.core.unhealthy == set(range(5)) and front.said().count("config-apart") == 1
     before = front.core.counts["watches"]
     for _ in range(600):
         if front.core.phase is Phase.WATCHING:
@@ -406,31 +422,31 @@
 def test_fronts_of_an_instance_that_dies_come_evenly_to_the_others() -> None:
     fleet = [Front(me=me, fronts=820).begun(FIRST).beat(FIRST) for me in range(0, 820, 5)]
     for front in fleet:
-        front.on(front.core.lost(front.now, 0, Loss.BROKEN))
-    assert max(Counter(front.core.at for front in fleet).values()) == 41
+        front.on(front.core.connection_lost(front.now, 0, Loss.BROKEN))
+    assert max(Counter(front.core.current_instance for front in fleet).values()) == 41
     moments = sorted((front.core.next_try or 0) - front.now for front in fleet)
     assert moments[-1] <= 2 * SECOND // 3 + MIN_RETRY_INTERVAL_US and moments[82] >= 2 * SECOND // 9
 
 
 def test_the_even_period_of_a_long_outage() -> None:
-    fleet = [ReconnectSchedule(me, 820, SECOND, me, period=EVEN) for me in range(820)]
+    fleet = [ReconnectSchedule(me, 820, SECOND, me, period=OUTAGE_RETRY_PERIOD_US) for me in range(820)]
     tries = [front.lost(0, Loss.LATE) for front in fleet]
     later = []
     for front, moment in zip(fleet, tries, strict=True):
         while moment < 100 * SECOND:
             moment = front.lost(moment, Loss.LATE)
-            later += [moment] if moment >= REDIRECT_LIMIT_US + EVEN else []
+            later += [moment] if moment >= REDIRECT_LIMIT_US + OUTAGE_RETRY_PERIOD_US else []
     seconds = Counter(moment // SECOND for moment in later if 20 * SECOND <= moment < 100 * SECOND)
     assert set(seconds.values()) == {205} and len(seconds) == 80
 
 
 def test_a_report_is_told_when_it_changes_and_not_too_often() -> None:
     front = Front(me=3).begun(FIRST).beat(FIRST).wait(SECOND)
-    assert sum(isinstance(effect, Tell) for effect in front.done) == 1
+    assert sum(isinstance(effect, SendReport) for effect in front.done) == 1
     for number in range(FIRST + 1, FIRST + 5):
         front.lines(number, number).beat(number).wait(SECOND)
     for _ in range(8):
         front.beat(FIRST + 4).wait(SECOND)
-    told = [effect.report for effect in front.done if isinstance(effect, Tell)]
+    told = [effect.report for effect in front.done if isinstance(effect, SendReport)]
     assert len(told) <= 3 and (told[-1].version, told[-1].digest) == (FIRST + 4, LOG[FIRST + 3].digest)
     assert [report.number for report in told] == list(range(1, len(told) + 1))
--- a/tests/following/test_front.py
+++ b/tests/following/test_front.py
@@ -210,7 +210,7 @@
         following = made.world.fronts[0].following
         assert following is not None
         core = following.follower
-        await made.world.until(lambda: core.refused[0] == bad and core.keeping is None)
+        await made.world.until(lambda: core.refused[0] == bad and core.pending_write is None)
         front = await made.again()
         assert (front.terms.version, front.engine.facts.rules.cold) == (bad, 3_000_000)
 
@@ -359,7 +359,7 @@
             await made.lose(number)
         assert front.following is not None
         core = front.following.follower
-        await world.until(lambda: core.apart_since is not None and core.home == left, 15)
+        await world.until(lambda: core.apart_since is not None and core.return_instance == left, 15)
         reports = made.instances.made[left].reports.held
         await world.until(lambda: 0 in reports and reports[0][0].apart_ms > 0, 15)
         assert front.terms.version == version and (await world.ask()).json()["state"] == "playing"
