--- a/tests/fleet/test_fleet.py
+++ b/tests/fleet/test_fleet.py
@@ -30,12 +30,12 @@
 # Mutants: code that takes a guard out of the program
 SYNCHRONIZED = """
 from ponddoor.front.reconnect import ReconnectSchedule
-ReconnectSchedule._place = lambda self, spread: 0
+ReconnectSchedule._slot = lambda self, spread: 0
 ReconnectSchedule.lost = lambda self, now, loss, elapsed=0, min_wait=0: now + 500_000
 """
 EAGER_RETRIES = """
 from ponddoor.front.reconnect import ReconnectSchedule
-ReconnectSchedule._longest_wait = lambda self, left: 500_000
+ReconnectSchedule._longest_wait = lambda self, remaining: 500_000
 ReconnectSchedule._next_in_period = lambda self, now, min_wait: now + 500_000
 """
 UNPACED = """
