--- a/tests/following/test_front.py
+++ b/tests/following/test_front.py
@@ -24,7 +24,7 @@
 from ponddoor.web.server import Bounds, Reply, Request, Server
 from tests.config.test_api import FIRST, put, served
 from tests.front.conftest import site_text
-from tests.front.test_engine import ASK
+from tests.front.test_engine import REQUEST
 
 from .conftest import Fleet, fleet, follow_of
 
@@ -278,7 +278,7 @@
     row = ev.ServerRow(1, 0, 0, 0, ev.ServerState.READY, 2.0, 0)
     engine.server_news(0, ev.NewsScope.CACHED, (row,))
     now = 20_000_000
-    engine.request(now, "a", replace(ASK, top=0), None)
+    engine.request(now, "a", replace(REQUEST, top=0), None)
     engine.setup_answered(now, "a", 0, 1, None, {}, {"link": 0.1})
     while (due := engine.next_due) is not None and due < now + 10_000_000:
         engine.run_due_timers(max(due, now))
--- a/tests/front/test_cores.py
+++ b/tests/front/test_cores.py
@@ -1,4 +1,4 @@
-"""The cores beside the engine: the list's versions, sealed words, the lag of the loop."""
+"""Parts of a front without I/O: versions of the server list, authenticated datagrams, and event loop lag."""
 
 import msgspec
 import pytest
@@ -10,26 +10,28 @@
 from ponddoor.front.sealed import MAX_DATAGRAM_BYTES, MAX_PAYLOAD_BYTES, PayloadTooLongError, Seal
 from ponddoor.interface.events import ServerState
 
-KEY, AGE, NOW = bytes(range(32)), 10_000_000, 1_700_000_000_000_000
+KEY = bytes(range(32))
+MAX_AGE_US = 10_000_000
+NOW = 1_700_000_000_000_000  # wall clock, us
 
 
-def roster() -> Roster:
+def make_roster() -> Roster:
     return Roster(("north",), ("box",), 3, -1000)
 
 
-def entry(server: int, state: str = "ready", **other: object) -> Entry:
-    return msgspec.structs.replace(Entry(server, "127.0.0.1:1", "north", "box", 1, state, 2.0), **other)
+def entry(server: int, state: str = "ready", **changes: object) -> Entry:
+    return msgspec.structs.replace(Entry(server, "127.0.0.1:1", "north", "box", 1, state, 2.0), **changes)
 
 
-def test_versions_out_of_order_or_doubled_change_nothing() -> None:
-    held = roster()
-    assert held.take(ListMessage("l", 4, [entry(1)])) is not None
+def test_old_and_repeated_versions_change_nothing() -> None:
+    roster = make_roster()
+    assert roster.take(ListMessage("l", 4, [entry(1)])) is not None
     change = ListMessage("l", 5, [entry(1, "draining")], since=4)
-    got = held.take(change)
-    assert got is not None and [row.server for row in got.rows] == [1]
-    assert got.rows[0].state is ServerState.DRAINING
-    assert held.take(change) is None and held.take(ListMessage("l", 3, [entry(1)])) is None
-    assert held.rows()[0].state is ServerState.DRAINING and held.ignored == 2
+    applied = roster.take(change)
+    assert applied is not None and [row.server for row in applied.rows] == [1]
+    assert applied.rows[0].state is ServerState.DRAINING
+    assert roster.take(change) is None and roster.take(ListMessage("l", 3, [entry(1)])) is None
+    assert roster.rows()[0].state is ServerState.DRAINING and roster.ignored == 2
 
 
 @pytest.mark.parametrize(
@@ -41,24 +43,24 @@
     ],
     ids=["gap", "another list", "beat ahead"],
 )
-def test_what_does_not_follow_asks_for_the_whole_list(message: ListMessage) -> None:
-    held = roster()
-    held.take(ListMessage("l", 4, [entry(1)]))
+def test_a_message_that_does_not_follow_the_version_raises_a_gap_error(message: ListMessage) -> None:
+    roster = make_roster()
+    roster.take(ListMessage("l", 4, [entry(1)]))
     with pytest.raises(GapError):
-        held.take(message)
-    assert held.version == 4
+        roster.take(message)
+    assert roster.version == 4
 
 
-def test_a_list_that_began_anew_counts_from_its_own_versions() -> None:
-    held = roster()
-    held.take(ListMessage("l", 40, [entry(1)]))
-    assert held.take(ListMessage("new", 2, [entry(2)])) is not None
-    assert [row.server for row in held.rows()] == [2]
+def test_a_list_with_a_new_id_is_taken_whatever_its_version() -> None:
+    roster = make_roster()
+    roster.take(ListMessage("l", 40, [entry(1)]))
+    assert roster.take(ListMessage("new", 2, [entry(2)])) is not None
+    assert [row.server for row in roster.rows()] == [2]
 
 
-def test_entries_of_another_site_are_left_out_and_counted() -> None:
-    held = roster()
-    odd = [
+def test_entries_of_another_site_are_ignored_and_counted() -> None:
+    roster = make_roster()
+    unusable = [
         entry(2, zone="moon"),
         entry(3, kind="x"),
         entry(4, cell=3),
@@ -66,37 +68,37 @@
         entry(6, "odd"),
         entry(7, weight=0.0),
     ]
-    held.take(ListMessage("l", 1, [entry(1), *odd]))
-    assert [row.server for row in held.rows()] == [1] and held.unusable == len(odd)
+    roster.take(ListMessage("l", 1, [entry(1), *unusable]))
+    assert [row.server for row in roster.rows()] == [1] and roster.unusable == len(unusable)
 
 
-def test_a_server_keeps_its_start_over_the_disk() -> None:
-    held, again = roster(), roster()
-    held.take(ListMessage("l", 4, [entry(1, started_us=50_000)]))
-    assert again.restore(held.to_bytes(7)) == (Kept.WHOLE, 7) and again.rows() == held.rows()
-    assert again.rows()[0].started_at == 49_000 and again.version == 4
+def test_the_start_time_of_a_server_survives_storage_on_disk() -> None:
+    roster, restored = make_roster(), make_roster()
+    roster.take(ListMessage("l", 4, [entry(1, started_us=50_000)]))
+    assert restored.restore(roster.to_bytes(7)) == (Kept.WHOLE, 7) and restored.rows() == roster.rows()
+    assert restored.rows()[0].started_at == 49_000 and restored.version == 4
 
 
-def test_a_kept_list_that_is_not_whole_or_not_ours_is_told_apart() -> None:
-    held, other = roster(), roster()
-    held.take(ListMessage("l", 4, [entry(1)]))
-    other.cells += 1
-    data = held.to_bytes()
-    for found, kept in (
+def test_an_incomplete_or_foreign_list_on_disk_is_recognised_and_not_used() -> None:
+    roster, foreign = make_roster(), make_roster()
+    roster.take(ListMessage("l", 4, [entry(1)]))
+    foreign.cells += 1
+    data = roster.to_bytes()
+    for state, stored in (
         (Kept.CUT_OFF, data[:-1]),
         (Kept.CUT_OFF, data[: data.index(b"\n") + 1]),
         (Kept.DAMAGED, data[:20]),
         (Kept.DAMAGED, data.replace(b"ready", b"READY")),
-        (Kept.OTHER_GENERATION, other.to_bytes()),
+        (Kept.OTHER_GENERATION, foreign.to_bytes()),
         (Kept.NONE, b""),
     ):
-        fresh = roster()
-        assert fresh.restore(kept)[0] is found and fresh.entries == {}
+        fresh = make_roster()
+        assert fresh.restore(stored)[0] is state and fresh.entries == {}
 
 
 @settings(max_examples=60, derandomize=True)
 @given(st.binary(max_size=60))
-def test_no_line_of_the_list_is_more_than_refused(line: bytes) -> None:
+def test_a_malformed_line_of_the_list_raises_only_the_decoding_error(line: bytes) -> None:
     try:
         message = decode(line)
     except msgspec.MsgspecError:
@@ -105,57 +107,57 @@
 
 
 def seals() -> tuple[Seal, Seal]:
-    return Seal(KEY, 0, 3, AGE), Seal(KEY, 1, 3, AGE)
+    return Seal(KEY, 0, 3, MAX_AGE_US), Seal(KEY, 1, 3, MAX_AGE_US)
 
 
-def test_words_come_through_once_and_in_any_order() -> None:
-    mine, theirs = seals()
-    first, second = mine.seal(NOW, b"one"), mine.seal(NOW, b"two")
-    assert [theirs.open(NOW, d) for d in (second, first)] == [(0, b"two"), (0, b"one")]
-    assert theirs.open(NOW, first) is None and theirs.refused == {"replayed": 1}
+def test_messages_are_accepted_once_and_in_any_order() -> None:
+    sender, receiver = seals()
+    first, second = sender.seal(NOW, b"one"), sender.seal(NOW, b"two")
+    assert [receiver.open(NOW, datagram) for datagram in (second, first)] == [(0, b"two"), (0, b"one")]
+    assert receiver.open(NOW, first) is None and receiver.refused == {"replayed": 1}
 
 
 def test_datagrams_hold_256_bytes() -> None:
-    mine, _ = seals()
-    assert len(mine.seal(NOW, bytes(MAX_PAYLOAD_BYTES))) == MAX_DATAGRAM_BYTES == 256
+    sender, _ = seals()
+    assert len(sender.seal(NOW, bytes(MAX_PAYLOAD_BYTES))) == MAX_DATAGRAM_BYTES == 256
     with pytest.raises(PayloadTooLongError):
-        mine.seal(NOW, bytes(MAX_PAYLOAD_BYTES + 1))
+        sender.seal(NOW, bytes(MAX_PAYLOAD_BYTES + 1))
 
 
 @pytest.mark.parametrize(
-    ("why", "other", "wall"),
+    ("reason", "seal", "wall"),
     [
-        ("forged", Seal(bytes(32), 0, 3, AGE), NOW),
-        ("miscounted", Seal(KEY, 0, 4, AGE), NOW),
-        ("foreign", Seal(KEY, 1, 3, AGE), NOW),
-        ("foreign", Seal(KEY, 7, 3, AGE), NOW),
-        ("old", Seal(KEY, 0, 3, AGE), NOW + AGE + 1),
-        ("old", Seal(KEY, 0, 3, AGE), NOW - AGE - 1),
+        ("forged", Seal(bytes(32), 0, 3, MAX_AGE_US), NOW),
+        ("miscounted", Seal(KEY, 0, 4, MAX_AGE_US), NOW),
+        ("foreign", Seal(KEY, 1, 3, MAX_AGE_US), NOW),
+        ("foreign", Seal(KEY, 7, 3, MAX_AGE_US), NOW),
+        ("old", Seal(KEY, 0, 3, MAX_AGE_US), NOW + MAX_AGE_US + 1),
+        ("old", Seal(KEY, 0, 3, MAX_AGE_US), NOW - MAX_AGE_US - 1),
     ],
 )
-def test_words_that_are_not_to_be_trusted(why: str, other: Seal, wall: int) -> None:
-    _, theirs = seals()
-    assert theirs.open(wall, other.seal(NOW, b"x")) is None and theirs.refused == {why: 1}
+def test_an_untrusted_datagram_is_refused_with_its_reason(reason: str, seal: Seal, wall: int) -> None:
+    _, receiver = seals()
+    assert receiver.open(wall, seal.seal(NOW, b"x")) is None and receiver.refused == {reason: 1}
 
 
 @settings(max_examples=200, derandomize=True)
 @given(st.integers(0, 60), st.integers(1, 255), st.booleans())
-def test_any_byte_changed_or_cut_is_refused(at: int, flip: int, cut: bool) -> None:
-    mine, theirs = seals()
-    data = bytearray(mine.seal(NOW, b"a word of a few bytes"))
-    at %= len(data)
-    data[at] ^= flip
-    assert theirs.open(NOW, bytes(data[:at]) if cut else bytes(data)) is None
-
-
-def test_words_after_a_restart_are_new_though_the_clock_stood_still() -> None:
-    mine, theirs = seals()
-    assert theirs.open(NOW, mine.seal(NOW, b"x")) and theirs.open(
-        NOW, Seal(KEY, 0, 3, AGE).seal(NOW + 1, b"y")
+def test_a_datagram_with_a_changed_or_missing_byte_is_refused(position: int, flip: int, cut: bool) -> None:
+    sender, receiver = seals()
+    data = bytearray(sender.seal(NOW, b"a word of a few bytes"))
+    position %= len(data)
+    data[position] ^= flip
+    assert receiver.open(NOW, bytes(data[:position]) if cut else bytes(data)) is None
+
+
+def test_messages_after_a_restart_are_accepted_although_the_clock_barely_advanced() -> None:
+    sender, receiver = seals()
+    assert receiver.open(NOW, sender.seal(NOW, b"x")) and receiver.open(
+        NOW, Seal(KEY, 0, 3, MAX_AGE_US).seal(NOW + 1, b"y")
     )
 
 
-def test_lag_counts_before_its_tick_and_until_the_next_in_time() -> None:
+def test_lag_counts_before_the_late_tick_and_until_the_next_punctual_one() -> None:
     meter = LagMeter(due=SAMPLE_PERIOD_US)
     assert meter.lag(SAMPLE_PERIOD_US) == 0 and meter.lag(SAMPLE_PERIOD_US + 300_000) == 300_000
     meter.tick(SAMPLE_PERIOD_US + 300_000)
--- a/tests/front/test_engine.py
+++ b/tests/front/test_engine.py
@@ -1,4 +1,4 @@
-"""The engine: every scenario in `scenarios/`, and a fault in the decisions."""
+"""The engine: every scenario in `scenarios/`, faulty decisions, and random sequences of events."""
 
 from collections.abc import Callable, Iterable
 from pathlib import Path
@@ -21,7 +21,7 @@
 from .conftest import site_text
 
 SCENARIOS = sorted((Path(__file__).parent / "scenarios").glob("*.txt"))
-ASK = ViewerRequest("t", 0, 0, 0, 3, 2, 2_000_000)
+REQUEST = ViewerRequest("t", 0, 0, 0, 3, 2, 2_000_000)
 
 
 @pytest.mark.parametrize("path", SCENARIOS, ids=lambda path: path.stem)
@@ -29,8 +29,8 @@
     play_engine(path)
 
 
-class Faulty:
-    """Decisions that send one SETUP and then fail."""
+class FaultyDecisions:
+    """Decisions that send one SETUP and then raise an exception."""
 
     facts: SiteFacts
 
@@ -49,58 +49,58 @@
         return []
 
 
-def engine_of(decisions: Faulty) -> Engine:
+def engine_with(decisions: FaultyDecisions) -> Engine:
     site = loads(site_text())
     return Engine(decisions, site.facts_of(0, 1), AdmissionGate(site.limits, LagMeter(1 << 60)))
 
 
-def test_a_fault_in_the_decisions_loses_nobody() -> None:
-    engine = engine_of(Faulty())
+def test_a_fault_in_the_decisions_ends_only_the_session_concerned() -> None:
+    engine = engine_with(FaultyDecisions())
     for sess in ("a", "b"):
-        engine.request(0, sess, ASK, None)
-    out = engine.setup_answered(1000, "a", 0, 1, ev.Result.FULL, {}, {})
-    assert [e.answer.kind for e in out if isinstance(e, fx.Reply)] == ["torn-down"]
+        engine.request(0, sess, REQUEST, None)
+    effects = engine.setup_answered(1000, "a", 0, 1, ev.Result.FULL, {}, {})
+    assert [effect.answer.kind for effect in effects if isinstance(effect, fx.Reply)] == ["torn-down"]
     assert (engine.sessions_held, engine.requests_in_hand, engine.counts.faults) == (1, 1, 1)
 
 
-class AnswersTwice(Faulty):
-    """Decisions that answer, and answer again."""
+class AnsweringTwice(FaultyDecisions):
+    """Decisions that answer a request twice."""
 
     def session(self, request: ev.SessionRequest) -> Script:
         yield act.BusyReply(request.req_id, 0)
         yield act.TearDown(request.req_id)
 
 
-def test_only_the_first_answer_goes_out() -> None:
-    engine = engine_of(AnswersTwice())
-    _, out = engine.request(0, "a", ASK, None)
-    assert [e.answer.kind for e in out if isinstance(e, fx.Reply)] == [
+def test_only_the_first_answer_is_sent() -> None:
+    engine = engine_with(AnsweringTwice())
+    _, effects = engine.request(0, "a", REQUEST, None)
+    assert [effect.answer.kind for effect in effects if isinstance(effect, fx.Reply)] == [
         "busy"
     ] and engine.requests_in_hand == 0
 
 
-class AnswersThenSends(Faulty):
-    """Decisions that answer, and send a SETUP all the same."""
+class SetupAfterAnswer(FaultyDecisions):
+    """Decisions that answer a request and then send a SETUP for it."""
 
     def __init__(self) -> None:
-        self.got: list[object] = []
+        self.outcomes: list[object] = []
 
     def session(self, request: ev.SessionRequest) -> Script:
         yield act.BusyReply(request.req_id, 0)
-        self.got.append((yield act.Setup(request.req_id, 1, 1_000_000)))
+        self.outcomes.append((yield act.Setup(request.req_id, 1, 1_000_000)))
 
 
-def test_who_is_answered_is_not_sent_on_while_remembered() -> None:
-    decisions = AnswersThenSends()
-    engine = engine_of(decisions)
-    _, out = engine.request(0, "a", ASK, "again")
+def test_no_setup_is_sent_for_an_answered_session_that_is_still_remembered() -> None:
+    decisions = SetupAfterAnswer()
+    engine = engine_with(decisions)
+    _, effects = engine.request(0, "a", REQUEST, "again")
     assert engine.find("a") is not None
-    assert not any(isinstance(e, fx.SendSetup) for e in out)
-    match decisions.got:
+    assert not any(isinstance(effect, fx.SendSetup) for effect in effects)
+    match decisions.outcomes:
         case [ev.Ended(result=ev.Result.MOOT, final=True)]:
             pass
         case _:
-            raise AssertionError(decisions.got)
+            raise AssertionError(decisions.outcomes)
 
 
 STEP = st.tuples(
@@ -113,7 +113,7 @@
 
 @settings(max_examples=150, deadline=None, derandomize=True)
 @given(st.lists(STEP, max_size=60))
-def test_any_course_answers_each_request_once_with_one_setup_out(
+def test_each_request_is_answered_once_with_at_most_one_setup_pending(
     steps: list[tuple[str, int, int, int]],
 ) -> None:
     site = loads(site_text())
@@ -121,37 +121,37 @@
     engine = Engine(Front(facts, 0), facts, AdmissionGate(site.limits, LagMeter(1 << 60)))
     rows = tuple(ev.ServerRow(n, 0, 0, n, ev.ServerState.READY, 2.0, 0) for n in range(3))
     answers: dict[str, str] = {}
-    out: dict[str, tuple[int, int]] = {}
-    now, asked = 20_000_000, 0
+    pending: dict[str, tuple[int, int]] = {}  # session: attempt and server
+    now, requests = 20_000_000, 0
 
-    def take(effects: list[fx.Effect]) -> None:
+    def check(effects: list[fx.Effect]) -> None:
         for effect in effects:
             if isinstance(effect, fx.SendSetup):
-                assert effect.sess not in out, "two SETUPs out"
-                out[effect.sess] = (effect.attempt, effect.server)
-            elif isinstance(effect, fx.SendTeardown) and out.get(effect.sess, (-1,))[0] == effect.attempt:
-                del out[effect.sess]
+                assert effect.sess not in pending, "two SETUPs pending"
+                pending[effect.sess] = (effect.attempt, effect.server)
+            elif isinstance(effect, fx.SendTeardown) and pending.get(effect.sess, (-1,))[0] == effect.attempt:
+                del pending[effect.sess]
             elif isinstance(effect, fx.Reply):
                 assert effect.sess not in answers, "answered twice"
                 answers[effect.sess] = effect.answer.kind
 
-    take(engine.server_news(0, ev.NewsScope.CACHED, rows))
-    for what, who, server, pause in steps:
-        sess = f"s{who}"
+    check(engine.server_news(0, ev.NewsScope.CACHED, rows))
+    for kind, number, server, pause in steps:
+        sess = f"s{number}"
         while (due := engine.next_due) is not None and due <= now + pause:
-            take(engine.run_due_timers(due))
+            check(engine.run_due_timers(due))
         now += pause
-        if what == "ask":
-            sess, asked = f"s{asked}", asked + 1
-            take(engine.request(now, sess, ASK, None)[1])
-        elif what == "left":
-            take(engine.viewer_left(now, sess))
-        elif what == "lost":
-            take(engine.server_lost(now, server))
-        elif what != "wait" and sess in out:
-            attempt, at = out.pop(sess)
-            result = None if what == "started" else ev.Result(what)
-            take(engine.setup_answered(now, sess, attempt, at, result, {}, {}))
+        if kind == "ask":
+            sess, requests = f"s{requests}", requests + 1
+            check(engine.request(now, sess, REQUEST, None)[1])
+        elif kind == "left":
+            check(engine.viewer_left(now, sess))
+        elif kind == "lost":
+            check(engine.server_lost(now, server))
+        elif kind != "wait" and sess in pending:
+            attempt, setup_server = pending.pop(sess)
+            result = None if kind == "started" else ev.Result(kind)
+            check(engine.setup_answered(now, sess, attempt, setup_server, result, {}, {}))
     while (due := engine.next_due) is not None and due <= now + 3_000_000:
-        take(engine.run_due_timers(due))
-    assert set(answers) == {f"s{n}" for n in range(asked)} and engine.requests_in_hand == 0
+        check(engine.run_due_timers(due))
+    assert set(answers) == {f"s{n}" for n in range(requests)} and engine.requests_in_hand == 0
--- a/tests/front/test_reconnect.py
+++ b/tests/front/test_reconnect.py
@@ -1,4 +1,4 @@
-"""Connecting to the list again: the core alone, for whole fleets in virtual time."""
+"""Reconnecting to the server list: schedules of whole fleets in virtual time, without I/O."""
 
 import heapq
 from collections import Counter
@@ -19,25 +19,25 @@
 from ponddoor.standins.capacity import Capacity, Verdict
 
 SECOND = 1_000_000
-GRACE = SECOND // 2
+START_LIMIT = SECOND // 2
 
 
 def fleet(fronts: int) -> list[ReconnectSchedule]:
-    return [ReconnectSchedule(me, fronts, GRACE, seed=1000 + me) for me in range(fronts)]
+    return [ReconnectSchedule(me, fronts, START_LIMIT, seed=1000 + me) for me in range(fronts)]
 
 
 @pytest.mark.parametrize("fronts", [20, 100, 300, 1000, 5000])
-@pytest.mark.parametrize("how", ["start", "moved", "break", "silence"])
-def test_a_spread_is_even(fronts: int, how: str) -> None:
-    begin: dict[str, Callable[[ReconnectSchedule], int]] = {
+@pytest.mark.parametrize("occasion", ["start", "moved", "break", "silence"])
+def test_first_tries_of_a_fleet_are_spread_evenly(fronts: int, occasion: str) -> None:
+    first_try: dict[str, Callable[[ReconnectSchedule], int]] = {
         "start": lambda front: front.start(0),
         "moved": lambda front: front.moved(0),
         "break": lambda front: front.lost(0, Loss.BROKEN),
         "silence": lambda front: front.lost(0, Loss.SILENT, 2_400_000),
     }
-    limits = {"start": GRACE, "moved": REDIRECT_LIMIT_US, "break": 2 * SECOND, "silence": 1_600_000}
-    moments = [begin[how](front) for front in fleet(fronts)]
-    assert max(moments) <= limits[how] // 2  # a second try fits before what is told counts
+    limits = {"start": START_LIMIT, "moved": REDIRECT_LIMIT_US, "break": 2 * SECOND, "silence": 1_600_000}
+    moments = [first_try[occasion](front) for front in fleet(fronts)]
+    assert max(moments) <= limits[occasion] // 2  # leaves time for a second try within the limit
     span = max(moments) - min(moments)
     for window in (10_000, 100_000):
         if span > window:
@@ -45,119 +45,123 @@
 
 
 @pytest.mark.parametrize("fronts", [20, 200, 300, 1000, 5000])
-def test_a_long_outage_costs_one_try_of_each_front_a_period(fronts: int) -> None:
+def test_in_a_long_outage_each_front_tries_once_per_period(fronts: int) -> None:
     minute = 60 * SECOND
-    tries, back = outage(fleet(fronts), 5 * minute)
-    late = [at for at in tries if at >= 60 * SECOND]
+    tries, returns = outage(fleet(fronts), 5 * minute)
+    late = [moment for moment in tries if moment >= 60 * SECOND]
     assert len(late) / 240 <= 1.01 * fronts * SECOND / RETRY_PERIOD_US
-    assert peak(late, SECOND) <= 2 * len(late) / 240 and len(back) == fronts
+    assert peak(late, SECOND) <= 2 * len(late) / 240 and len(returns) == fronts
 
 
-def pushed(each: list[Any], capacity: Capacity, until: int) -> tuple[int, int]:
-    """A fleet that begins at a list which can be pushed over: how often it fell, and who has it at the end.
+def play_overload(schedules: list[Any], capacity: Capacity, until: int) -> tuple[int, int]:
+    """A fleet starts at a list that fails under overload; the number of failures and of connected fronts.
 
-    Who has it loses it when it falls. Who is turned away or finds it fallen tries again as its core says."""
-    due = [(front.start(0), me) for me, front in enumerate(each)]
+    A failure breaks all connections. A front that is turned away or finds the list down follows its
+    schedule."""
+    due = [(front.start(0), me) for me, front in enumerate(schedules)]
     heapq.heapify(due)
-    has: set[int] = set()
+    connected: set[int] = set()
     while due and due[0][0] < until:
-        at, me = heapq.heappop(due)
-        falls = len(capacity.falls)
-        verdict, _ = capacity.ask(at)
-        if len(capacity.falls) > falls:
-            for one in sorted(has):
-                heapq.heappush(due, (each[one].lost(at, Loss.BROKEN), one))
-            has.clear()
+        now, me = heapq.heappop(due)
+        falls_before = len(capacity.falls)
+        verdict, _ = capacity.ask(now)
+        if len(capacity.falls) > falls_before:
+            for front in sorted(connected):
+                heapq.heappush(due, (schedules[front].lost(now, Loss.BROKEN), front))
+            connected.clear()
         if verdict is Verdict.SERVED:
-            has.add(me)
-            if isinstance(each[me], ReconnectSchedule):
-                each[me].heard(at)
+            connected.add(me)
+            if isinstance(schedules[me], ReconnectSchedule):
+                schedules[me].heard(now)
         else:
-            how = Loss.BROKEN if verdict is Verdict.TURNED_AWAY else Loss.REFUSED
-            heapq.heappush(due, (each[me].lost(at, how), me))
-    return len(capacity.falls), len(has)
+            loss = Loss.BROKEN if verdict is Verdict.TURNED_AWAY else Loss.REFUSED
+            heapq.heappush(due, (schedules[me].lost(now, loss), me))
+    return len(capacity.falls), len(connected)
 
 
 @pytest.mark.parametrize("seed", range(5))
 @pytest.mark.parametrize("answers", [60, 100, 150])
-def test_a_list_that_was_pushed_over_is_not_pushed_over_again_and_again(answers: int, seed: int) -> None:
-    spread = [ReconnectSchedule(me, 300, GRACE, seed * 7919 + me) for me in range(300)]
-    falls, have = pushed(spread, Capacity(answers, answers // 2, 5 * SECOND), 90 * SECOND)
-    assert falls <= 2 and have == 300
+def test_a_list_that_failed_under_overload_does_not_keep_failing(answers: int, seed: int) -> None:
+    spread = [ReconnectSchedule(me, 300, START_LIMIT, seed * 7919 + me) for me in range(300)]
+    falls, connected = play_overload(spread, Capacity(answers, answers // 2, 5 * SECOND), 90 * SECOND)
+    assert falls <= 2 and connected == 300
     in_step = [InStep() for _ in range(300)]
-    falls, have = pushed(in_step, Capacity(answers, answers // 2, 5 * SECOND), 90 * SECOND)
-    assert falls >= 10 and have < 300
+    falls, connected = play_overload(in_step, Capacity(answers, answers // 2, 5 * SECOND), 90 * SECOND)
+    assert falls >= 10 and connected < 300
 
 
-def test_what_the_rules_leave_is_used() -> None:
-    """News of a list that is back counts 4 s after it was lost: nobody waits longer for a try before."""
+def test_no_wait_exceeds_a_third_of_the_limit_in_a_short_outage() -> None:
+    """Changes of a list that is reachable again count 4 s after its loss; no wait before may be longer."""
     for front in fleet(200):
-        at, last = front.start(0), 0
-        while at < REDIRECT_LIMIT_US:
-            assert at - last <= REDIRECT_LIMIT_US // 3 + MIN_RETRY_INTERVAL_US
-            last, at = at, front.lost(at, Loss.REFUSED)
+        try_at, last_try_at = front.start(0), 0
+        while try_at < REDIRECT_LIMIT_US:
+            assert try_at - last_try_at <= REDIRECT_LIMIT_US // 3 + MIN_RETRY_INTERVAL_US
+            last_try_at, try_at = try_at, front.lost(try_at, Loss.REFUSED)
 
 
-def test_hearing_from_it_ends_the_growth() -> None:
+def test_a_message_from_the_list_resets_the_backoff() -> None:
     front = fleet(200)[199]
-    at = front.start(0)
+    try_at = front.start(0)
     for _ in range(12):
-        at = front.lost(at, Loss.LATE)
+        try_at = front.lost(try_at, Loss.LATE)
     assert front.tries == 12
-    front.heard(at)
-    assert front.lost(at, Loss.BROKEN) - at <= 2 * SECOND // 3 + MIN_RETRY_INTERVAL_US
+    front.heard(try_at)
+    assert front.lost(try_at, Loss.BROKEN) - try_at <= 2 * SECOND // 3 + MIN_RETRY_INTERVAL_US
 
 
-def test_who_is_told_when_to_come_back_comes_no_sooner_and_not_in_step() -> None:
-    told = [front.lost(0, Loss.TURNED_AWAY, 0, 5 * SECOND) for front in fleet(40)]
-    again = [
-        front.lost(at, Loss.TURNED_AWAY, 0, 5 * SECOND) - at
-        for front, at in zip(fleet(40), told, strict=True)
+def test_a_front_told_when_to_retry_does_so_no_sooner_and_with_jitter() -> None:
+    first = [front.lost(0, Loss.TURNED_AWAY, 0, 5 * SECOND) for front in fleet(40)]
+    waits = [
+        front.lost(moment, Loss.TURNED_AWAY, 0, 5 * SECOND) - moment
+        for front, moment in zip(fleet(40), first, strict=True)
     ]
-    assert min(told) >= 5 * SECOND and min(again) >= 5 * SECOND
-    assert max(Counter(at // 10_000 for at in told).values()) <= 3
+    assert min(first) >= 5 * SECOND and min(waits) >= 5 * SECOND
+    assert max(Counter(moment // 10_000 for moment in first).values()) <= 3
 
 
-def test_losses_are_told_apart() -> None:
+def test_losses_are_counted_by_kind() -> None:
     front = fleet(3)[0]
     front.start(0)
-    for how in Loss:
-        front.lost(0, how)
-    assert front.losses == {how.value: 1 for how in Loss}
+    for loss in Loss:
+        front.lost(0, loss)
+    assert front.losses == {loss.value: 1 for loss in Loss}
 
 
-TRY_TAKES = {Loss.REFUSED: 0, Loss.LATE: SECOND, Loss.SILENT: 3_400_000}  # us: connecting, then silence
-TOLD_WITHIN = 6 * SECOND  # us: a change counts as told so long after it could be had again
-CONNECTION_LATE = SECOND  # us: a connection may come up so late
+# Until a try has failed in this way; that of a silent list includes the time to connect.
+TRY_DURATION_US = {Loss.REFUSED: 0, Loss.LATE: SECOND, Loss.SILENT: 3_400_000}
+KNOWN_WITHIN_US = 6 * SECOND  # after the list is reachable again, a change counts as known
+CONNECT_DELAY_US = SECOND  # a connection may take this long
 
 
-def asked_again(fronts: int, outage: int, how: Loss) -> tuple[list[int], int]:
-    """A fleet loses the list at 0: its tries until the return, and the longest wait for one after it (us)."""
-    each = fleet(fronts)
-    due = [(front.lost(0, Loss.BROKEN), me) for me, front in enumerate(each)]
+def play_outage(fronts: int, outage: int, loss: Loss) -> tuple[list[int], int]:
+    """A fleet loses the list at 0: its tries in the outage, and the longest wait for a try after it (us)."""
+    schedules = fleet(fronts)
+    due = [(front.lost(0, Loss.BROKEN), me) for me, front in enumerate(schedules)]
     heapq.heapify(due)
     tries, latest = list[int](), 0
     while due:
-        at, me = heapq.heappop(due)
-        if at >= outage:
-            latest = max(latest, at - outage)
+        now, me = heapq.heappop(due)
+        if now >= outage:
+            latest = max(latest, now - outage)
         else:
-            tries.append(at)
-            heapq.heappush(due, (each[me].lost(at + TRY_TAKES[how], how), me))
+            tries.append(now)
+            heapq.heappush(due, (schedules[me].lost(now + TRY_DURATION_US[loss], loss), me))
     return tries, latest
 
 
 @pytest.mark.parametrize("fronts", [5, 30, 200, 820])
 @pytest.mark.parametrize("outage", [8, 30, 120])
-@pytest.mark.parametrize("how", list(TRY_TAKES))
-def test_every_front_is_told_within_six_seconds_after_an_outage(fronts: int, outage: int, how: Loss) -> None:
-    _, latest = asked_again(fronts, outage * SECOND, how)
-    assert latest + CONNECTION_LATE <= TOLD_WITHIN
+@pytest.mark.parametrize("loss", list(TRY_DURATION_US))
+def test_every_front_knows_changes_within_six_seconds_after_an_outage(
+    fronts: int, outage: int, loss: Loss
+) -> None:
+    _, latest = play_outage(fronts, outage * SECOND, loss)
+    assert latest + CONNECT_DELAY_US <= KNOWN_WITHIN_US
 
 
 @pytest.mark.parametrize("fronts", [5, 30, 200, 820])
-@pytest.mark.parametrize("how", list(TRY_TAKES))
-def test_tries_in_an_outage_stay_within_twice_their_mean_in_each_second(fronts: int, how: Loss) -> None:
-    tries, _ = asked_again(fronts, 120 * SECOND, how)
-    late = [at for at in tries if at >= 20 * SECOND]
+@pytest.mark.parametrize("loss", list(TRY_DURATION_US))
+def test_tries_in_an_outage_stay_within_twice_their_mean_in_each_second(fronts: int, loss: Loss) -> None:
+    tries, _ = play_outage(fronts, 120 * SECOND, loss)
+    late = [moment for moment in tries if moment >= 20 * SECOND]
     assert peak(late, SECOND) <= 2 * len(late) / 100
--- a/tests/node/test_crossings.py
+++ b/tests/node/test_crossings.py
@@ -40,7 +40,7 @@
 from ponddoor.web import connecting
 from ponddoor.web.connecting import connect_within
 from ponddoor.web.timing import within
-from tests.front.test_engine import Faulty, engine_of
+from tests.front.test_engine import FaultyDecisions, engine_with
 
 from .conftest import STEP_TIMEOUT_S, Harness, encode_message, encode_parameter, session_id, setup_request
 from .test_node import start_node_process, write_settings
@@ -1177,7 +1177,11 @@
 
 
 def test_fault_in_one_effect_does_not_stop_later_effects_or_the_timer() -> None:
-    engine, carried_out, no_effects = engine_of(Faulty()), list[str](), dict[str, list[fx.Effect]]()
+    engine, carried_out, no_effects = (
+        engine_with(FaultyDecisions()),
+        list[str](),
+        dict[str, list[fx.Effect]](),
+    )
 
     def carry_out(effect: fx.Effect) -> None:
         if isinstance(effect, fx.SendSetup):
