--- a/ponddoor/front/process.py
+++ b/ponddoor/front/process.py
@@ -108,9 +108,9 @@
         self.viewers = Viewers(terms, self.engine, self.apply, self._address, self.metrics.answered)
         self.seating = self._seats(kept) if site.seats.limits else None
         if self.seating is not None and noted is not None:
-            self.seating.noted = noted
+            self.seating.record_event = noted
         self.viewers.seating = self.seating
-        self.viewers.noted = noted if self.following is not None else None
+        self.viewers.record_event = noted if self.following is not None else None
         if site.hints:
             hinting = Hinting(site, me, self.engine, self.apply, clock)
             self.hinting = self.viewers.hinting = self.servers.hinting = hinting
@@ -144,7 +144,7 @@
                 self.viewers.carry_out(effect)
 
     def _heard(self, peer: int, payload: bytes) -> None:
-        if self.seating is not None and self.seating.heard(peer, payload):
+        if self.seating is not None and self.seating.handle_payload(peer, payload):
             return
         self.apply(lambda now: self.engine.peer_message(now, peer, payload))
 
--- a/ponddoor/front/seating.py
+++ b/ponddoor/front/seating.py
@@ -1,4 +1,4 @@
-"""The shell of the seats of one front: its journal, its messages, its tickets and its tokens."""
+"""Connects the seat logic of one front to its journal, its clock, its callers and the other fronts."""
 
 import asyncio
 from collections.abc import Callable
@@ -16,20 +16,24 @@
 from ponddoor.store.files import Disk
 from ponddoor.store.journal import Journal
 
-TICK = 0.05
-SNAPSHOT_AFTER = 20_000  # records, after which the journal is folded into a snapshot
+TICK_PERIOD_S = 0.05
+# A snapshot replaces the journal after this many records.
+SNAPSHOT_AFTER_RECORDS = 20_000
 log = structlog.get_logger("seats")
 
 
-def _unnoted(what: str, **fields: Any) -> None:
-    """Where nobody keeps a record."""
+def _ignore_event(event: str, **fields: Any) -> None:
+    """The default of `record_event`: records nothing."""
 
 
 @dataclass(slots=True)
 class Seating:
-    """All seats of one front. `send` takes a payload to one other front, `ended` the session of a seat that
-    ran out, `broken` why the disk failed: then nothing more is granted, and the front must stop. `noted` is
-    told of every seat that is granted, kept over a restart, or back."""
+    """All seats of one front.
+
+    `send` sends a payload to another front. `on_expired` is called with each seat that expires. `on_failure`
+    is called with the reason when the disk or a tick has failed: no more seats are granted then, and the
+    front must stop. `record_event` is called for every seat that is granted, kept over a restart, given back
+    or expired. `clock` is in microseconds."""
 
     me: int
     fronts: int
@@ -39,96 +43,98 @@
     folder: Path
     clock: Callable[[], int]
     send: Callable[[int, bytes], None]
-    ended: Callable[[str], None]
-    broken: Callable[[str], None]
-    noted: Callable[..., None] = _unnoted
+    on_expired: Callable[[str], None]
+    on_failure: Callable[[str], None]
+    record_event: Callable[..., None] = _ignore_event
     core: Seats = field(init=False)
-    dropped: list[str] = field(default_factory=list)
-    recovered: int = 0
+    dropped_lines: list[str] = field(default_factory=list)
+    recovered_records: int = 0
     lost_messages: int = 0
     _journal: Journal = field(init=False)
     _committer: Committer = field(init=False)
-    _first: int = 0
-    _since: int = 0
-    _tickets: int = 0
+    _records_at_start: int = 0
+    _records_since_snapshot: int = 0
+    _last_ticket: int = 0
     _waiting: dict[int, asyncio.Future[Granted | Refused]] = field(default_factory=dict)
-    _ticking: asyncio.Task[None] | None = None
+    _tick_task: asyncio.Task[None] | None = None
     _failed: str = ""
-    _refusal: str = ""  # what who asks is told, once the disk has failed or the front has stopped
+    _refusal: str = ""  # the reason for refusing every request after a failure or a stop; else empty
 
     def start(self) -> None:
-        """Recover and begin. Raises LockedError, DamagedError or DiskError."""
+        """Recovers the seats from the journal and starts. Raises LockedError, DamagedError or DiskError."""
         self._journal = Journal(Disk(self.folder))
-        held = self._journal.open()
-        self.dropped, self.recovered = held.dropped, len(held.records)
-        for line in held.dropped:
+        recovery = self._journal.open()
+        self.dropped_lines, self.recovered_records = recovery.dropped, len(recovery.records)
+        for line in recovery.dropped:
             log.warning("journal-tail-dropped", what=line)
-        begun = [row[1] for row in [*(held.state or []), *held.records] if row and row[0] == "begun"]
+        epochs = [row[1] for row in [*(recovery.state or []), *recovery.records] if row and row[0] == "begun"]
         now = self.clock()
         self.core = Seats(
-            self.me, self.fronts, self.limits, self.timing, max([*begun, wall_clock_us()]) + 1, now
+            self.me, self.fronts, self.limits, self.timing, max([*epochs, wall_clock_us()]) + 1, now
         )
-        self.core.recover(now, held.state, held.records)
-        self._first = self._journal.next_number - 1
-        kept = [seat for share in self.core.shares.values() for seat in share.seats]
-        self.noted("seats-kept", front=self.me, seats=kept)
-        self._committer = Committer(self._journal, self._durable, self._fail)
-        self._run(self.core.begin(now))
-        self._ticking = asyncio.create_task(self._tick())
+        self.core.recover(now, recovery.state, recovery.records)
+        self._records_at_start = self._journal.next_number - 1
+        kept_seats = [seat for share in self.core.shares.values() for seat in share.seats]
+        self.record_event("seats-kept", front=self.me, seats=kept_seats)
+        self._committer = Committer(self._journal, self._on_durable, self._fail)
+        self._apply_effects(self.core.begin(now))
+        self._tick_task = asyncio.create_task(self._tick())
         if self.core.silent_until > now:
             log.warning("no-journal", wait_ms=(self.core.silent_until - now) // 1000)
 
     async def take(self, key: Key, viewer: str, sess: str) -> Granted | Refused:
-        """A seat for a session, or why there is none."""
-        return await self._ask(lambda now, ticket: self.core.take(now, ticket, key, viewer, sess))
+        """Takes a seat for a session, or returns the refusal."""
+        return await self._request(lambda now, ticket: self.core.take(now, ticket, key, viewer, sess))
 
     async def renew(self, token: Token, viewer: str) -> Granted | Refused:
-        """The next generation of a seat, or why not."""
+        """Renews a seat: returns its next generation, or the refusal."""
         key = (token.tenant, token.entitlement)
-        return await self._ask(
+        return await self._request(
             lambda now, ticket: self.core.renew(now, ticket, key, token.seat, viewer, token.generation)
         )
 
     def give_back(self, key: Key, seat: str, viewer: str) -> None:
+        """Returns a seat before it expires."""
         effects = [] if self._failed else self.core.give_back(self.clock(), key, seat, viewer)
         if effects:
-            self.noted("seat-back", front=self.me, seat=seat, why="given-back")
-        self._run(effects)
+            self.record_event("seat-back", front=self.me, seat=seat, why="given-back")
+        self._apply_effects(effects)
 
-    def look(self, token: Token) -> dict[str, Any]:
-        """What a token is worth now: its newest generation, and how long the seat still runs."""
-        held = self.core.share((token.tenant, token.entitlement)).seats.get(token.seat)
-        left = 0 if held is None else max(0, held.expires - self.clock())
+    def token_status(self, token: Token) -> dict[str, Any]:
+        """The state of a token's seat: its newest generation (0 once it has ended) and the time left."""
+        seat = self.core.share((token.tenant, token.entitlement)).seats.get(token.seat)
+        left_us = 0 if seat is None else max(0, seat.expires - self.clock())
         return {
             "tenant": token.tenant,
             "entitlement": token.entitlement,
             "session": token.sess,
             "generation": token.generation,
-            "newest": held.generation if held is not None and left else 0,
-            "runs": left > 0,
-            "expires_in_ms": left / 1000,
+            "newest": seat.generation if seat is not None and left_us else 0,
+            "runs": left_us > 0,
+            "expires_in_ms": left_us / 1000,
         }
 
-    def token(self, got: Granted) -> str:
-        """The signed token of a grant; its time is told by the wall clock."""
-        expires = wall_clock_us() + got.expires - self.clock()
-        text = Token(*got.key, got.viewer, got.sess, got.seat, got.generation, self.me, expires)
-        return made(text, self.key)
+    def token(self, grant: Granted) -> str:
+        """The signed token of a grant. It expires by the wall clock, in microseconds."""
+        expires_us = wall_clock_us() + grant.expires - self.clock()
+        token = Token(*grant.key, grant.viewer, grant.sess, grant.seat, grant.generation, self.me, expires_us)
+        return made(token, self.key)
 
-    def heard(self, peer: int, payload: bytes) -> bool:
-        """Whether a front's payload was about seats."""
+    def handle_payload(self, peer: int, payload: bytes) -> bool:
+        """Handles a payload from another front. Returns False if it is not a message about seats."""
         message = unpack(payload)
         if message is None:
             return False
         if not self._failed:
-            self._run(self.core.heard(self.clock(), peer, message))
+            self._apply_effects(self.core.heard(self.clock(), peer, message))
         return True
 
     def set_limits(self, limits: dict[Key, int]) -> None:
-        self._run(self.core.set_limits(self.clock(), limits))
+        """Replaces the limits of all entitlements."""
+        self._apply_effects(self.core.set_limits(self.clock(), limits))
 
-    def shown(self) -> list[dict[str, Any]]:
-        """Each entitlement as this front sees it, for operators."""
+    def entitlement_rows(self) -> list[dict[str, Any]]:
+        """The state of each entitlement at this front, for GET /seats."""
         now, rows = self.clock(), []
         for key in sorted(set(self.core.limits) | set(self.core.shares) | set(self.core.books)):
             share, book = self.core.shares.get(key), self.core.books.get(key)
@@ -147,77 +153,82 @@
         return rows
 
     async def close(self) -> None:
-        """Who waits is answered, and so is at once whoever asks from now on."""
-        if self._ticking is not None:
-            self._ticking.cancel()
+        """Stops. Requests that wait and all later ones are refused with "front-stopped"."""
+        if self._tick_task is not None:
+            self._tick_task.cancel()
         self._refusal = self._refusal or "front-stopped"
         self._answer_all("front-stopped")
         await self._committer.close()
 
-    async def _ask(self, call: Callable[[int, int], list[Effect]]) -> Granted | Refused:
-        self._tickets += 1
-        ticket = self._tickets
+    async def _request(self, call: Callable[[int, int], list[Effect]]) -> Granted | Refused:
+        self._last_ticket += 1
+        ticket = self._last_ticket
         if self._refusal:
             return Refused(ticket, self._refusal)
         future: asyncio.Future[Granted | Refused] = asyncio.get_running_loop().create_future()
         self._waiting[ticket] = future
         try:
-            self._run(call(self.clock(), ticket))
+            self._apply_effects(call(self.clock(), ticket))
             return await future
         finally:
             self._waiting.pop(ticket, None)
 
-    def _run(self, effects: list[Effect]) -> None:
+    def _apply_effects(self, effects: list[Effect]) -> None:
         for effect in effects:
             match effect:
                 case Write(_, record):
                     self._journal.append(record)
-                    self._since += 1
+                    self._records_since_snapshot += 1
                     self._committer.wake()
                 case Send(peer, message):
-                    self._tell(peer, message)
+                    self._send_message(peer, message)
                 case Granted(ticket) | Refused(ticket):
                     if isinstance(effect, Granted) and effect.generation == 1:
-                        self.noted("seat", front=self.me, seat=effect.seat, sess=effect.sess)
+                        self.record_event("seat", front=self.me, seat=effect.seat, sess=effect.sess)
                     future = self._waiting.get(ticket)
                     if future is not None and not future.done():
                         future.set_result(effect)
                     elif isinstance(effect, Granted) and future is None and effect.generation == 1:
-                        self.give_back(effect.key, effect.seat, effect.viewer)  # nobody waits for it any more
+                        # The caller was cancelled while it waited.
+                        self.give_back(effect.key, effect.seat, effect.viewer)
                 case Expired(seat):
-                    self.noted("seat-back", front=self.me, seat=seat, why="expired")
-                    self.ended(seat)
+                    self.record_event("seat-back", front=self.me, seat=seat, why="expired")
+                    self.on_expired(seat)
 
-    def _tell(self, peer: int, message: Message) -> None:
+    def _send_message(self, peer: int, message: Message) -> None:
         try:
             self.send(peer, pack(message))
         except OSError:
             self.lost_messages += 1
 
-    def _durable(self, number: int) -> None:
-        self._run(self.core.durable(self.clock(), number - self._first))
-        if self._since >= SNAPSHOT_AFTER and self._journal.durable == self._journal.next_number - 1:
+    def _on_durable(self, number: int) -> None:
+        self._apply_effects(self.core.durable(self.clock(), number - self._records_at_start))
+        if (
+            self._records_since_snapshot >= SNAPSHOT_AFTER_RECORDS
+            and self._journal.durable == self._journal.next_number - 1
+        ):
             self._journal.snapshot(self.core.state())
-            self._since = 0
+            self._records_since_snapshot = 0
+
+    def _fail(self, reason: str, refusal: str = "disk-failed") -> None:
+        """Stops granting after a failed sync or an exception in a tick.
 
-    def _fail(self, why: str, refusal: str = "disk-failed") -> None:
-        """Grant nothing more, after a sync that failed or a fault of ours. Who waits, and whoever asks
-        from now on, is refused for `refusal`."""
-        self._failed, self._refusal = why, refusal
-        self._answer_all(refusal)  # before the log line: one that fails must leave nobody waiting
-        self.broken(why)
-        log.error(refusal, why=why)
+        Requests that wait and all later ones are refused with `refusal`."""
+        self._failed, self._refusal = reason, refusal
+        self._answer_all(refusal)  # first: an error in a later line must not leave callers waiting
+        self.on_failure(reason)
+        log.error(refusal, why=reason)
 
-    def _answer_all(self, why: str) -> None:
+    def _answer_all(self, reason: str) -> None:
         for ticket, future in self._waiting.items():
             if not future.done():
-                future.set_result(Refused(ticket, why))
+                future.set_result(Refused(ticket, reason))
 
     async def _tick(self) -> None:
         try:
             while not self._failed:
-                await asyncio.sleep(TICK)
-                self._run(self.core.tick(self.clock()))
-        except Exception as problem:
-            self._fail(f"tick: {type(problem).__name__}: {problem}", "faulted")
+                await asyncio.sleep(TICK_PERIOD_S)
+                self._apply_effects(self.core.tick(self.clock()))
+        except Exception as error:
+            self._fail(f"tick: {type(error).__name__}: {error}", "faulted")
             raise
--- a/tests/front/test_seating.py
+++ b/tests/front/test_seating.py
@@ -122,7 +122,7 @@
         for media in world.media:
             media.fault(Fault("fast_errors", on=False))
         seating = world.fronts[0].seating
-        assert seating is not None and seating.shown()[0]["held"] == 0
+        assert seating is not None and seating.entitlement_rows()[0]["held"] == 0
         assert (await watch(world, "b")).status == 201
 
     in_world(live, kept=tmp_path / "k", seats=seats(1))
