--- a/ponddoor/capacity/virtual_measure.py
+++ b/ponddoor/capacity/virtual_measure.py
@@ -126,7 +126,7 @@
             2,
         )
         self.fleet = Fleet(told, now, terms, 1)
-        self.script: Script = self.fleet.gossip(lambda server: None, lambda keeper: [])
+        self.script: Script = self.fleet.gossip(lambda server: None, lambda owner: [])
         self.until = 0
 
     def turn(self, now: int) -> list[act.SendPeerMessage]:
--- a/ponddoor/fleet/counts.py
+++ b/ponddoor/fleet/counts.py
@@ -1,5 +1,4 @@
-"""Amounts counted over the fleet, by front: one register for each front and key, merged by incarnation and
-stamp.
+"""Amounts counted over the fleet: one register for each front and key, merged by incarnation and stamp.
 
 Only a front itself writes its registers. A later incarnation replaces all registers of an earlier one, a
 later stamp replaces an earlier one, and a full update clears the keys that it does not contain. Merging is
@@ -126,8 +125,7 @@
         return set(keys)
 
     def clear_key(self, key: int) -> None:
-        """Removes the amounts of all fronts at a key: the server's process was replaced, its sessions
-        ended."""
+        """Removes all fronts' amounts at a key: the server's process was replaced, so its sessions ended."""
         for front in list(self._holders.get(key, ())):
             self.clear(front, key)
 
@@ -152,8 +150,7 @@
         return {key: cell.amount for key, cell in origin.cells.items()} if origin is not None else {}
 
     def bounds(self, now: int, key: int, fresh: int) -> Bounds:
-        """A key's sum with bounds. Amounts older than `fresh` may have ended and are left out of the
-        least."""
+        """A key's sum with bounds. The least leaves out amounts older than `fresh`, which may have ended."""
         least = likely = most = 0.0
         oldest = now
         for front, cell in self._holders.get(key, {}).items():
--- a/ponddoor/fleet/evidence.py
+++ b/ponddoor/fleet/evidence.py
@@ -1,5 +1,4 @@
-"""Evidence on servers: the set-up outcomes that fronts observed, each with its witness, age and number of
-tries.
+"""Evidence on servers: the set-up outcomes that fronts observed, with witness, age and number of tries.
 
 Fronts exchange observations, not verdicts. Of each witness only the latest report counts, by incarnation
 and stamp, and a report expires after `ttl`. Each reader draws its own conclusion; a witness counts once,
@@ -16,8 +15,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Observation:
-    """What one front observed of a server recently: set-ups that failed and that succeeded, and the last of
-    each."""
+    """One front's recent set-ups at a server: how many failed and succeeded, and when each last happened."""
 
     failed: int = 0
     succeeded: int = 0
@@ -30,8 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EvidenceSummary:
-    """The observations of several fronts: how many saw the last set-up fail, all their tries, and the
-    newest."""
+    """Sums of several fronts' observations. `witnesses_against`: fronts whose last set-up there failed."""
 
     witnesses_against: int = 0
     failed: int = 0
--- a/ponddoor/fleet/explore.py
+++ b/ponddoor/fleet/explore.py
@@ -1,5 +1,4 @@
-"""Exhaustive exploration of a small case of share leases: a lender, a borrower, a crash of either, a lost
-message.
+"""Exhaustive exploration of a small model of share leases: one lender, one borrower, a crash, a lost message.
 
 Breadth-first search over every order in which time passes, lease requests and leases arrive, a message is
 lost, and a front crashes and restarts at once. In no state may both the lender and the borrower use the
--- a/ponddoor/fleet/measure.py
+++ b/ponddoor/fleet/measure.py
@@ -1,5 +1,4 @@
-"""Measures the fleet package in virtual time: messages over fleet size, and budget shares in use over
-message loss."""
+"""Measures messages by fleet size, and budget shares in use by message loss, in virtual time."""
 
 from dataclasses import replace
 from typing import Any
--- a/ponddoor/fleet/mutants.py
+++ b/ponddoor/fleet/mutants.py
@@ -1,5 +1,6 @@
-"""Variants of the fleet's classes that each lack one guard, with schedules in which that guard matters: the
-simulation must find every one (tests, `ponddoor fleet mutants`)."""
+"""Variants of the fleet's classes that each lack one guard, with schedules in which that guard matters.
+
+The simulation must find every one: in the tests, and with `ponddoor fleet simulate --without NAME`."""
 
 from collections.abc import Iterable
 from dataclasses import replace
--- a/ponddoor/fleet/presence.py
+++ b/ponddoor/fleet/presence.py
@@ -2,7 +2,7 @@
 of Lifeguard (Dadgar, Phillips and Currey, 2018). docs/notes/fleet.md compares the alternatives.
 
 Each period a front pings one other front, in shuffled round-robin order. One that does not answer is pinged
-through three others, and suspected if none of these reaches it. Suspicions are gossiped on pings and acks,
+through three others, and suspected if it still does not answer. Suspicions are gossiped on pings and acks,
 and the suspect refutes one by sending a higher refutation number. A front decides alone that another is
 dead and does not gossip it: otherwise a single front could have all others declared dead. An incarnation is
 the time a front started at, by its Unix clock: it orders the starts of a front, and with the refutation
@@ -89,8 +89,7 @@
 
 
 class Presence:
-    """One front's view of the membership. Call `poll` at `next_due`; send the messages that methods
-    return."""
+    """One front's view of the membership. Call `poll` at `next_due`; send what the methods return."""
 
     def __init__(self, me: int, fronts: int, incarnation: int, now: int, timing: Timing, seed: int) -> None:
         self.me, self.fronts, self.timing, self.chance = me, fronts, timing, SeededRandom(seed)
@@ -144,8 +143,7 @@
         return sum(outcome is PingOutcome.ANSWERED for outcome in self.outcomes) / len(self.outcomes)
 
     def connectivity(self, now: int) -> Connectivity:
-        """How this front reaches the others. It is cut off only once several pings in a row went
-        unanswered."""
+        """How this front reaches the others. It counts as cut off after several unanswered pings in a row."""
         if self.unanswered_in_row >= PING_REQUEST_FANOUT:
             receiving = now - self._last_heard_at < PING_REQUEST_FANOUT * self.timing.ping_period
             return Connectivity.INBOUND_ONLY if receiving else Connectivity.NONE
@@ -163,15 +161,16 @@
     # Messages and timers
 
     def accept_message(self, now: int, front: int, incarnation: int) -> bool:
-        """Records that a front sent a message. False if the message must be ignored: it is of an earlier or
-        an implausible incarnation."""
+        """Records that a front sent a message.
+
+        False if the message must be ignored: its incarnation is an earlier one, or not plausible."""
         member = self.members.get(front)
         if member is None or not self.is_plausible(now, incarnation) or incarnation < member.incarnation:
             return False
         self._last_heard_at = member.heard_at = now
         if incarnation > member.incarnation:
             self._merge_row(now, words.MemberRow(front, incarnation, 0, None))
-        if front in self._dead:  # a message of its own overrides gossip
+        if front in self._dead:  # its own message proves that it is alive
             self._dead.discard(front)
             member.suspected_at = None
             self.version += 1
@@ -325,8 +324,7 @@
         return self._random_live_fronts(count, ())
 
     def _merge_row(self, now: int, row: words.MemberRow) -> None:
-        """Merges a row: the later incarnation, refutation and suspicion win, whatever the order of
-        arrival."""
+        """Merges a row: the later incarnation, refutation and suspicion win, in any order of arrival."""
         if not self.is_plausible(now, row.incarnation) and row.incarnation:
             return
         if row.front == self.me:
@@ -367,11 +365,10 @@
             self._gossip_counts[row.front] = 0
 
     def _refute(self, row: words.MemberRow) -> None:
-        """Refutes a suspicion of ourselves, and moves to an incarnation above a later one that is told of
-        us.
+        """Refutes a suspicion of this front, or a row that names a later incarnation of it.
 
-        Such a later one exists if our clock was set back since, or if a front sends invalid rows within a
-        day of our clock."""
+        A later incarnation is named if our clock was set back since, or if a front sends invalid rows
+        within a day of our clock. This front then uses the incarnation after that one."""
         if row.incarnation > self.incarnation:
             self.incarnation, self.refutations = row.incarnation + 1, 0
             self.refuted += 1
--- a/ponddoor/fleet/shares.py
+++ b/ponddoor/fleet/shares.py
@@ -12,8 +12,7 @@
 whatever is lost or late. Requests are numbered, and the borrower's incarnation is the fencing token: a
 response to a request of an earlier incarnation lends nothing. A front that has just started may have lent
 its share in its previous incarnation, and does not use it for the time of a lease. A grant is one send,
-valid for as long as the asker waits for its reply. Nothing is persisted over a restart, and nothing needs
-to be."""
+valid for as long as the asker waits for its reply. No state needs to survive a restart."""
 
 from collections import OrderedDict
 from dataclasses import dataclass, field
@@ -40,8 +39,7 @@
 
 
 class Shares:
-    """One front's own shares, and those lent to it. The shares of all budgets of a group are lent
-    together."""
+    """One front's own shares, and those lent to it. All budgets of a group are lent together."""
 
     def __init__(self, fronts: int, now: int, lease: int, drift: float = 0.01) -> None:
         self.fronts, self.lease, self.drift = fronts, lease, drift
--- a/ponddoor/fleet/simulation.py
+++ b/ponddoor/fleet/simulation.py
@@ -236,8 +236,7 @@
         return fleet.presence.incarnation if fleet is not None else 1
 
     def _request_grant(self, node: Node, server: int) -> Script:
-        """Queries the owners for a grant to send to a server; counts if our own share could be used
-        instead."""
+        """Queries the owners for a grant to send to a server; counts when its own share would allow it."""
         fleet, group = node.fleet, self._group(server)
         assert fleet is not None
         if fleet.shares.may_use_own(fleet.now, group):
@@ -445,8 +444,7 @@
                 )
 
     def _check_lent(self) -> None:
-        """Nine in ten of the shares of fronts that are not owners of a group are lent to one of its
-        owners."""
+        """Nine in ten of the shares of fronts that do not own a group are lent to its owners."""
         for group in range(GROUPS):
             owners = self.nodes[0].fleet.owners(group) if self.nodes[0].fleet else ()
             lent: set[int] = set()
--- a/ponddoor/fleet/view.py
+++ b/ponddoor/fleet/view.py
@@ -1,5 +1,4 @@
-"""One front's view of the rest of the fleet, as its decisions use it: the interface to membership, rates,
-evidence and budget shares.
+"""One front's view of the fleet for its decisions: membership, requested rates, evidence and budget shares.
 
 Each group of servers (consecutive racks) has as owners the first few live fronts by rendezvous hashing
 (Thaler and Ravishankar, 1998): all fronts with the same membership view name the same owners, and the loss
@@ -121,7 +120,7 @@
         return next((owner for owner in order if owner not in self.silent_owners), order[0])
 
     def most_owners_silent(self) -> bool:
-        """Whether most owners are silent, so that few receive what we send."""
+        """Whether most owners are silent, so that few of them receive our updates."""
         return 2 * len(self.silent_owners) > len(self.all_owners())
 
     def group_of(self, rack: int, racks: int) -> int:
@@ -163,8 +162,7 @@
     # Messages
 
     def receive(self, peer: int, message: words.Message | None) -> set[int]:
-        """Handles a message. Returns the servers whose requested rate may have changed; replies go to
-        `outbox`."""
+        """Handles a message; replies go to `outbox`. Returns the servers whose rate may have changed."""
         now, changed = self.now, set[int]()
         if message is None or isinstance(message, words.InUseQuery | words.HoldersQuery):
             return changed
@@ -259,8 +257,7 @@
     def status_for(
         self, peer: int, server: int, idle_kb: float, asked_kb: float, warm: bool, granted: bool
     ) -> words.ServerStatus:
-        """The status of a server for a reply to a peer, with the peer's own rate and the evidence of
-        others."""
+        """The status of a server for a peer, with the peer's own rate and the evidence of others."""
         summary = self.evidence.summary(self.now, server, peer)
         asker_kb = self.counts.amount_of(peer, server)
         return words.ServerStatus(
@@ -345,8 +342,7 @@
         query.awaited.clear()
 
     def match_reply(self, peer: int, reply: words.QueryReply) -> int | None:
-        """Records a reply. Returns when its query was sent; None if it matches no query or arrived too
-        late."""
+        """Records a reply. Returns when its query was sent; None if there is none, or it was too long ago."""
         query = self._queries.get(reply.number)
         late = query is None or self.now - query.sent > self.terms.timing.ping_period
         if query is None or late or reply.incarnation != self.presence.incarnation_of(peer):
@@ -366,8 +362,7 @@
         )
 
     def lend_shares(self, groups: Iterable[int]) -> Script:
-        """Lends our shares of groups to the owners that we query, in response to their recent lease
-        requests."""
+        """Lends our shares of groups to the owners that we query, if these requested them recently."""
         by_owner: dict[int, list[int]] = {}
         for group in groups if self.queries_owners else ():
             owner = self.owner_to_query(group)
--- a/ponddoor/interface/words.py
+++ b/ponddoor/interface/words.py
@@ -1,5 +1,4 @@
-"""Messages between fronts and their encoding. A datagram holds up to 225 bytes; a longer list of rows is
-split.
+"""Messages between fronts, and their encoding as datagrams of at most 225 bytes; longer messages are split.
 
 Every message but a query carries the sender's incarnation. `unpack` returns None for a datagram that is
 empty or of an unknown kind, and reads a truncated one up to its last complete row. Ages are in
@@ -105,8 +104,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RateUpdate:
-    """The sender's rates: if `full`, all at servers whose groups the receiver owns, else those that
-    changed."""
+    """The sender's rates at servers of the receiver's groups: all if `full`, else those that changed."""
 
     incarnation: int
     stamp: int
--- a/tests/fleet/test_cold_sum.py
+++ b/tests/fleet/test_cold_sum.py
@@ -1,5 +1,4 @@
-"""The set-ups that all fronts together send to a cold server stay within what it can take, for fleets of
-any size.
+"""The set-ups that a fleet of any size sends to a cold server stay within what the server can take.
 
 They come from the fronts' own turns, from grants of group owners, from sends to servers that are only
 possibly cold, and from further attempts. The test runs complete fronts (decisions and driver) in virtual
@@ -187,8 +186,7 @@
 def test_without_turns_the_sum_exceeds_what_a_cold_server_can_take(
     case: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Spaces each front only by its share, with the first send free: how fronts once sent to a lost
-    server."""
+    """Spaces each front only by its share, with the first send free, as was once done for a lost server."""
     monkeypatch.setattr(
         Front,
         "paced_until",
--- a/tests/fleet/test_fleet.py
+++ b/tests/fleet/test_fleet.py
@@ -1,5 +1,4 @@
-"""Fleets of processes under faults: each day is audited against the six rules, and against limits of its
-own.
+"""Fleets of processes under faults: each day is audited against the six rules and against its own limits.
 
 The limits are on counts and on which faults were active when, with margins for a slow machine; none
 requires a fast one. Some days are also played by a mutant, the program without one guard: its day must
--- a/tests/sharing/test_sharing.py
+++ b/tests/sharing/test_sharing.py
@@ -1,5 +1,4 @@
-"""The fleet package: each class on its own, its algebraic laws, the simulation, and its variants without a
-guard."""
+"""The fleet package: its classes and their algebraic laws, the simulation, and variants without a guard."""
 
 from collections.abc import Callable
 from concurrent.futures import ProcessPoolExecutor
@@ -36,8 +35,7 @@
 
 
 class PresenceNetwork:
-    """The Presence of several fronts on a network without loss; fronts can be deaf (they receive nothing) or
-    stopped."""
+    """Several fronts on a network without loss. Deaf fronts receive nothing; stopped ones do nothing."""
 
     def __init__(self, fronts: int) -> None:
         self.presences = [Presence(me, fronts, 100, 0, TIMING, me + 1) for me in range(fronts)]
