--- a/ponddoor/front/process.py
+++ b/ponddoor/front/process.py
@@ -108,9 +108,9 @@
         self.viewers = Viewers(terms, self.engine, self.apply, self._address, self.metrics.answered)
         self.seating = self._seats(kept) if site.seats.limits else None
         if self.seating is not None and noted is not None:
-            self.seating.noted = noted
+            self.seating.record_event = noted
         self.viewers.seating = self.seating
-        self.viewers.noted = noted if self.following is not None else None
+        self.viewers.record_event = noted if self.following is not None else None
         if site.hints:
             hinting = Hinting(site, me, self.engine, self.apply, clock)
             self.hinting = self.viewers.hinting = self.servers.hinting = hinting
@@ -144,7 +144,7 @@
                 self.viewers.carry_out(effect)
 
     def _heard(self, peer: int, payload: bytes) -> None:
-        if self.seating is not None and self.seating.heard(peer, payload):
+        if self.seating is not None and self.seating.handle_payload(peer, payload):
             return
         self.apply(lambda now: self.engine.peer_message(now, peer, payload))
 
@@ -195,7 +195,7 @@
             late = self.gate.lag.tick(clock())
             self.metrics.lagged(late / SECOND)
             if self._noted is not None and isinstance(self.decisions, Front):
-                for front, dead in self.standings.look(self.decisions.fleet.presence).items():
+                for front, dead in self.standings.changes(self.decisions.fleet.presence).items():
                     self._noted("stands", front=front, dead=dead)
             if late > self.site.limits.loop_lag:
                 log.warning("loop-late", ms=late // 1000)
@@ -205,7 +205,7 @@
         while True:
             await asyncio.sleep(1)
             if isinstance(self.decisions, Front):
-                self.acting.look(self.decisions, clock())
+                self.acting.log_changes(self.decisions, clock())
             now_reached = {word for word in self.engine.counts.answers if word.startswith("limit ")}
             for word in sorted(now_reached - reached):
                 log.warning("limit-reached", limit=word.removeprefix("limit "))
--- a/tests/soak/mutants.py
+++ b/tests/soak/mutants.py
@@ -73,7 +73,7 @@
         if connection is not None and answer.kind == "playing":
             from ponddoor.node import viewer_codec
 
-            connection.write(viewer_codec.encode_playing(session, answer.passed))
+            connection.write(viewer_codec.encode_playing(session, answer.viewer_text))
 
     Viewers._reply = twice  # type: ignore[method-assign]
 
@@ -85,7 +85,7 @@
 
 def asks_seldom() -> None:
     """The list is asked once in half a minute."""
-    ReconnectSchedule._next_in_period = lambda self, now, stay_away: now + 30_000_000  # type: ignore[method-assign]
+    ReconnectSchedule._next_in_period = lambda self, now, min_wait: now + 30_000_000  # type: ignore[method-assign]
 
 
 def sends_for_clients_that_left() -> None:
