--- a/ponddoor/front/engine.py
+++ b/ponddoor/front/engine.py
@@ -244,7 +244,8 @@
     ) -> list[Effect]:
         """Handles the outcome of a SETUP.
 
-        `result` is None if the stream started; then the viewer is given `viewer_text`."""
+        `result` is None if the stream started; then the viewer is given `viewer_text`. `asked` may have the
+        load asked of the server's link and of its rack's uplink, as ratios to their capacity."""
         session = self._sessions.get(sess)
         if session is None or not session.setup_pending or session.attempt != attempt:
             # The outcome came after the timeout or the cancel, or a second time. A stream that started anyway
--- a/ponddoor/front/servers.py
+++ b/ponddoor/front/servers.py
@@ -28,7 +28,10 @@
 
 
 class SetupAnswer(msgspec.Struct, frozen=True):
-    """A media server's answer to a SETUP; `result` is started, full, error or cancelled."""
+    """A media server's answer to a SETUP.
+
+    `result` is started, full, error or cancelled. `asked` may have, as `link` and `uplink`, the load asked of
+    the server's link and of its rack's uplink, as ratios to their capacity."""
 
     sess: str
     attempt: int
