--- a/ponddoor/cli.py
+++ b/ponddoor/cli.py
@@ -681,7 +681,9 @@
             sys.exit(2)
         different += found.different
         kinds = ", ".join(f"{count} {kind}" for kind, count in sorted(found.events.items()))
-        click.echo(f"{path.name}: {found.same} the same, {found.different} different {found.first} ({kinds})")
+        click.echo(
+            f"{path.name}: {found.same} the same, {found.different} different {found.first_difference} ({kinds})"
+        )
     sys.exit(1 if different else 0)
 
 
--- a/ponddoor/front/metrics.py
+++ b/ponddoor/front/metrics.py
@@ -1,4 +1,4 @@
-"""A front's metrics in the Prometheus text format, at an address of its own. Labels: kinds and servers."""
+"""Serves a front's metrics in the Prometheus text format and its view of the fleet at an address of their own."""
 
 from collections.abc import Callable, Iterable, Iterator
 from typing import Any
@@ -9,9 +9,10 @@
 
 from ponddoor.web.server import HttpError, Reply, Request
 
-_ANSWER = (0.005, 0.01, 0.02, 0.04, 0.08, 0.16, 0.32, 0.64, 1.0, 1.5, 2.5, 5.0)
-_LAG = (0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.25, 0.5, 1.0)
-Sample = tuple[str, str, str, str, dict[str, float]]  # (counter or gauge, name, help, label, values by label)
+_ANSWER_BUCKETS_S = (0.005, 0.01, 0.02, 0.04, 0.08, 0.16, 0.32, 0.64, 1.0, 1.5, 2.5, 5.0)
+_LAG_BUCKETS_S = (0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.25, 0.5, 1.0)
+# The type (counter or gauge), name, help text, label name (may be empty), and values by label value.
+Sample = tuple[str, str, str, str, dict[str, float]]
 
 
 class _Samples(Collector):
@@ -19,16 +20,18 @@
         self._samples = samples
 
     def collect(self) -> Iterator[Metric]:
-        for kind, name, text, label, values in self._samples():
-            made = CounterMetricFamily if kind == "counter" else GaugeMetricFamily
-            family = made(f"ponddoor_{name}", text, labels=[label] if label else [])
-            for value, amount in values.items():
-                family.add_metric([value] if label else [], amount)
+        for kind, name, help_text, label, values in self._samples():
+            family_class = CounterMetricFamily if kind == "counter" else GaugeMetricFamily
+            family = family_class(f"ponddoor_{name}", help_text, labels=[label] if label else [])
+            for label_value, amount in values.items():
+                family.add_metric([label_value] if label else [], amount)
             yield family
 
 
 class Metrics:
-    """Histograms that are fed as things happen, and samples that are read when somebody asks."""
+    """Histograms that are updated at each observation, and samples that are read at each GET /metrics.
+
+    `fleet` returns the body of GET /fleet."""
 
     def __init__(
         self, samples: Callable[[], Iterable[Sample]], fleet: Callable[[], dict[str, Any]] | None = None
@@ -40,20 +43,20 @@
             "ponddoor_answer_seconds",
             "Time from a request to its answer, by kind of answer.",
             ["kind"],
-            buckets=_ANSWER,
+            buckets=_ANSWER_BUCKETS_S,
             registry=self.registry,
         )
         self._lag = Histogram(
             "ponddoor_loop_lag_seconds",
             "How late the event loop ran, sampled 20 times a second.",
-            buckets=_LAG,
+            buckets=_LAG_BUCKETS_S,
             registry=self.registry,
         )
 
-    def answered(self, kind: str, seconds: float) -> None:
+    def observe_answer(self, kind: str, seconds: float) -> None:
         self._answers.labels(kind).observe(seconds)
 
-    def lagged(self, seconds: float) -> None:
+    def observe_loop_lag(self, seconds: float) -> None:
         self._lag.observe(seconds)
 
     async def handle(self, request: Request) -> Reply:
@@ -61,5 +64,5 @@
             return Reply(200, self.fleet())
         if request.method != "GET" or request.path != ("metrics",):
             raise HttpError(404, "no-such-resource", "GET /metrics and GET /fleet are all there is")
-        kind = (("Content-Type", "text/plain; version=0.0.4; charset=utf-8"),)
-        return Reply(200, generate_latest(self.registry), kind)
+        headers = (("Content-Type", "text/plain; version=0.0.4; charset=utf-8"),)
+        return Reply(200, generate_latest(self.registry), headers)
--- a/ponddoor/front/process.py
+++ b/ponddoor/front/process.py
@@ -1,4 +1,4 @@
-"""One front as one process: the engine, its shells, the clock, and the signals."""
+"""Runs one front as a process: assembles the engine and its connections, and handles the signals."""
 
 import asyncio
 import contextlib
@@ -45,12 +45,13 @@
 from ponddoor.web.server import Bounds, Server
 from ponddoor.web.timing import within
 
-LAST_ANSWERS_S = 1.0  # at the end, for answers to what has come
+# At a stop, how long requests that have arrived may take to be answered.
+FINAL_ANSWERS_TIMEOUT_S = 1.0
 log = structlog.get_logger("front")
-Deciding = Callable[[SiteFacts, int], Decisions]
+DecisionsFactory = Callable[[SiteFacts, int], Decisions]
 
 
-def bounds_of(limits: Limits) -> Bounds:
+def http_bounds(limits: Limits) -> Bounds:
     return Bounds(
         limits.connections,
         limits.per_address,
@@ -63,7 +64,12 @@
 
 
 class FrontProcess:
-    """Assembles a front. `start`, then `run` until it is told to drain, or `stop`."""
+    """Assembles a front. Call `start`, then `run`, which returns once the front has drained, or `stop`.
+
+    `kept` is the file in which the server list is kept; seats and the shared configuration are kept beside
+    it. `seed` is random by default. `make_decisions` makes the decision logic from the facts and the time in
+    microseconds. `trace` is the file to write a trace to. `record_event` is called with the events that an
+    audit needs."""
 
     def __init__(
         self,
@@ -71,58 +77,60 @@
         me: int,
         kept: Path | None = None,
         seed: int | None = None,
-        deciding: Deciding = Front,
+        make_decisions: DecisionsFactory = Front,
         log_requests: bool = False,
         trace: Path | None = None,
-        noted: Callable[..., None] | None = None,
+        record_event: Callable[..., None] | None = None,
     ) -> None:
-        self._own, self.site, self.me, self._log_requests = site, site, me, log_requests
-        self._noted = noted
+        self._start_site, self.site, self.me, self._log_requests = site, site, me, log_requests
+        self._record_event = record_event
         seed = secrets.randbits(64) if seed is None else seed
         self._terms: Terms | None = None
-        self.following = self._followed(site.follow, seed, kept) if site.follow is not None else None
+        self.following = self._make_following(site.follow, seed, kept) if site.follow is not None else None
         if self.following is not None:
-            self.following.recover()  # what was in force is the site, before anything is made of it
+            self.following.recover()  # sets `site` to the kept version, which the rest is made from
         site, terms = self.site, self._terms or begun(self.site)
         now = clock()
         facts = replace(site.facts_of(me, seed), wall=wall_clock_us() - now)
-        self.decisions = deciding(facts, now)
+        self.decisions = make_decisions(facts, now)
         self.gate = AdmissionGate(site.limits, LagMeter(now + SAMPLE_PERIOD_US))
         self.engine = Engine(self.decisions, facts, self.gate)
         self._pump = Pump(self.engine, self._carry_out)
         self.apply = self._pump.apply
         self.tracer = Tracer(trace, facts, now) if trace is not None else None
-        self.engine.on_event_handled = self.tracer.fed if self.tracer is not None else None
-        self.metrics = Metrics(self._samples, self._fleet)
+        self.engine.on_event_handled = self.tracer.write_event if self.tracer is not None else None
+        self.metrics = Metrics(self._metric_samples, self._fleet_state)
         self.hinting: Hinting | None = None
-        offset = now - wall_clock_us()
-        roster = Roster(site.zones, site.kinds, facts.plant.cells, offset)
+        wall_offset_us = now - wall_clock_us()
+        roster = Roster(site.zones, site.kinds, facts.plant.cells, wall_offset_us)
         self.servers = Servers(site, me, secrets.randbits(48), self.engine, self.apply)
         self.servers.sends_group_terms = self.following is not None
-        grace, step = facts.rules.drain_grace, site.listing.retry
-        schedule = ReconnectSchedule(me, facts.fronts, grace, facts.seed, step)
-        learned = self.servers.apply_list_change
-        self.listing = ListClient(site, me, roster, self.engine, self.apply, learned, kept, schedule)
+        drain_grace, retry_step = facts.rules.drain_grace, site.listing.retry
+        schedule = ReconnectSchedule(me, facts.fronts, drain_grace, facts.seed, retry_step)
+        on_list_change = self.servers.apply_list_change
+        self.listing = ListClient(site, me, roster, self.engine, self.apply, on_list_change, kept, schedule)
         seal = Seal(site.words.key, me, len(site.fronts), site.words.age)
-        self.words = GossipSocket(site, me, seal, self._heard)
-        self.viewers = Viewers(terms, self.engine, self.apply, self._address, self.metrics.answered)
-        self.seating = self._seats(kept) if site.seats.limits else None
-        if self.seating is not None and noted is not None:
-            self.seating.record_event = noted
+        self.words = GossipSocket(site, me, seal, self._handle_payload)
+        self.viewers = Viewers(
+            terms, self.engine, self.apply, self._server_address, self.metrics.observe_answer
+        )
+        self.seating = self._make_seating(kept) if site.seats.limits else None
+        if self.seating is not None and record_event is not None:
+            self.seating.record_event = record_event
         self.viewers.seating = self.seating
-        self.viewers.record_event = noted if self.following is not None else None
+        self.viewers.record_event = record_event if self.following is not None else None
         if site.hints:
             hinting = Hinting(site, me, self.engine, self.apply, clock)
             self.hinting = self.viewers.hinting = self.servers.hinting = hinting
-        self.web = Server(self.viewers.handle, bounds_of(site.limits))
+        self.web = Server(self.viewers.handle, http_bounds(site.limits))
         self.metrics_web = Server(self.metrics.handle, Bounds(connections=50, per_address=50))
-        self.acting, self.standings = ActiveMechanisms(), DeadFronts()
+        self.active_mechanisms, self.dead_fronts = ActiveMechanisms(), DeadFronts()
         self._tasks: list[asyncio.Task[None]] = []
         self._stopping = asyncio.Event()
         self.port = 0
         self._terms = terms
 
-    # What the engine wants
+    # Effects of the engine
 
     def _carry_out(self, effect: Effect) -> None:
         match effect:
@@ -143,16 +151,16 @@
             case fx.Push():
                 self.viewers.carry_out(effect)
 
-    def _heard(self, peer: int, payload: bytes) -> None:
+    def _handle_payload(self, peer: int, payload: bytes) -> None:
         if self.seating is not None and self.seating.handle_payload(peer, payload):
             return
         self.apply(lambda now: self.engine.peer_message(now, peer, payload))
 
-    def _address(self, server: int) -> str:
+    def _server_address(self, server: int) -> str:
         entry = self.listing.roster.entries.get(server)
         return entry.address if entry is not None else ""
 
-    def _seats(self, kept: Path | None) -> Seating:
+    def _make_seating(self, kept: Path | None) -> Seating:
         terms = self.site.seats
         timing = Timing(
             terms.token, terms.lease, terms.drift, borrow_wait=terms.borrow_wait, come_back=terms.come_back
@@ -168,14 +176,14 @@
             clock,
             self.words.send,
             self.viewers.seat_ended,
-            lambda why: self._stopping.set(),
+            lambda reason: self._stopping.set(),
         )
 
-    # Life
+    # Start and run
 
     async def start(self) -> None:
-        """Take the addresses and begin. Raises OSError where an address can't be had."""
-        place = self.site.fronts[self.me]
+        """Binds the addresses and starts. Raises OSError if an address cannot be bound."""
+        addresses = self.site.fronts[self.me]
         if len(self.site.fronts) > 1 and (self.site.facts.permissions.messages or self.site.seats.limits):
             await self.words.start()
         if self.seating is not None:
@@ -184,56 +192,58 @@
         self.listing.begin()
         if self.following is not None:
             self.following.begin()
-        self.port = await self.web.start(*place.viewers)
-        await self.metrics_web.start(*place.metrics)
-        self._tasks = [asyncio.create_task(self._sample_lag()), asyncio.create_task(self._look())]
+        self.port = await self.web.start(*addresses.viewers)
+        await self.metrics_web.start(*addresses.metrics)
+        self._tasks = [asyncio.create_task(self._sample_lag()), asyncio.create_task(self._log_changes())]
         log.info("front-started", me=self.me, fronts=len(self.site.fronts), port=self.port)
 
     async def _sample_lag(self) -> None:
         while True:
             await asyncio.sleep(max(self.gate.lag.due - clock(), 0) / SECOND)
-            late = self.gate.lag.tick(clock())
-            self.metrics.lagged(late / SECOND)
-            if self._noted is not None and isinstance(self.decisions, Front):
-                for front, dead in self.standings.changes(self.decisions.fleet.presence).items():
-                    self._noted("stands", front=front, dead=dead)
-            if late > self.site.limits.loop_lag:
-                log.warning("loop-late", ms=late // 1000)
-
-    async def _look(self) -> None:
-        reached: set[str] = set()
+            late_us = self.gate.lag.tick(clock())
+            self.metrics.observe_loop_lag(late_us / SECOND)
+            if self._record_event is not None and isinstance(self.decisions, Front):
+                for front, dead in self.dead_fronts.changes(self.decisions.fleet.presence).items():
+                    self._record_event("stands", front=front, dead=dead)
+            if late_us > self.site.limits.loop_lag:
+                log.warning("loop-late", ms=late_us // 1000)
+
+    async def _log_changes(self) -> None:
+        limits_logged: set[str] = set()
         while True:
             await asyncio.sleep(1)
             if isinstance(self.decisions, Front):
-                self.acting.log_changes(self.decisions, clock())
-            now_reached = {word for word in self.engine.counts.answers if word.startswith("limit ")}
-            for word in sorted(now_reached - reached):
-                log.warning("limit-reached", limit=word.removeprefix("limit "))
-            reached = now_reached
+                self.active_mechanisms.log_changes(self.decisions, clock())
+            limits_now = {name for name in self.engine.counts.answers if name.startswith("limit ")}
+            for name in sorted(limits_now - limits_logged):
+                log.warning("limit-reached", limit=name.removeprefix("limit "))
+            limits_logged = limits_now
 
     def reload(self, path: Path) -> bool:
-        """Take over what can change in service: the limits. A file with problems changes nothing, nor does
-        any where a version of the shared configuration is in force: the limits are that one's."""
+        """Reads the site file again and applies what can change without a restart: limits, seats and node.
+
+        Returns False and changes nothing if the file has problems, or if a version of the shared
+        configuration is in force, because then that version sets the limits."""
         if self.terms.version:
-            counts = f"version {self.terms.version} of the shared configuration counts, not the file"
-            log.warning("reload-refused", problems=[counts])
+            problem = f"version {self.terms.version} of the shared configuration is in force; file ignored"
+            log.warning("reload-refused", problems=[problem])
             return False
         try:
-            fresh = load(path)
-        except SettingsError as problem:
-            log.error("reload-refused", problems=[str(one) for one in problem.problems])
+            loaded = load(path)
+        except SettingsError as error:
+            log.error("reload-refused", problems=[str(problem) for problem in error.problems])
             return False
-        kept = replace(self.site, limits=fresh.limits, seats=fresh.seats, node=fresh.node)
+        site = replace(self.site, limits=loaded.limits, seats=loaded.seats, node=loaded.node)
         if self.seating is not None:
-            self.seating.set_limits(fresh.seats.limits)
+            self.seating.set_limits(loaded.seats.limits)
         parts = ("facts", "zones", "kinds", "titles", "servers", "listing", "fronts", "words", "follow")
-        other = [name for name in parts if getattr(fresh, name) != getattr(self.site, name)]
-        if other:
-            log.warning("reload-needs-restart", parts=other)
-        self.site = kept
-        self._terms = self.viewers.terms = replace(self.terms, site=kept)
-        self.gate.limits = fresh.limits
-        self.web.bounds = bounds_of(fresh.limits)
+        changed_parts = [name for name in parts if getattr(loaded, name) != getattr(self.site, name)]
+        if changed_parts:
+            log.warning("reload-needs-restart", parts=changed_parts)
+        self.site = site
+        self._terms = self.viewers.terms = replace(self.terms, site=site)
+        self.gate.limits = loaded.limits
+        self.web.bounds = http_bounds(loaded.limits)
         log.info("reloaded")
         return True
 
@@ -241,97 +251,103 @@
 
     @property
     def terms(self) -> Terms:
-        """What who comes now is decided by."""
+        """The configuration that applies to new requests."""
         return self._terms or begun(self.site)
 
-    def _followed(self, side: FollowSide, seed: int, kept: Path | None) -> Following:
-        grace = self._own.facts.rules.drain_grace
-        core = Follower(
+    def _make_following(self, side: FollowSide, seed: int, kept: Path | None) -> Following:
+        drain_grace = self._start_site.facts.rules.drain_grace
+        follower = Follower(
             self.me,
-            len(self._own.fronts),
+            len(self._start_site.fronts),
             len(side.instances),
             seed,
-            grace,
+            drain_grace,
             side.folder,
-            self._unusable,
+            self._unusable_reasons,
             side.silence,
             side.report_every,
         )
-        file = kept.with_suffix(".config") if kept is not None else None
-        made = Following(core, side.instances, self._take, file)
-        made.refused = self._refused
-        return made
-
-    def _refused(self, number: int, why: str) -> None:
-        if self._noted is not None:
-            self._noted("version-refused", front=self.me, version=number, why=why)
-
-    def _unusable(self, version: Site) -> tuple[str, ...]:
-        """Why this front can't take a version now; called beside the loop as well."""
-        held = self._terms
-        return unusable_at_start(self._own, version) if held is None else unusable(held, version)
-
-    def _take(self, version: Take) -> None:
-        """Put a version in force: before the start it is the site, later it is taken between two turns of the
-        engine, whole before anything else runs."""
+        config_file = kept.with_suffix(".config") if kept is not None else None
+        following = Following(follower, side.instances, self._take_version, config_file)
+        following.refused = self._on_version_refused
+        return following
+
+    def _on_version_refused(self, number: int, reason: str) -> None:
+        if self._record_event is not None:
+            self._record_event("version-refused", front=self.me, version=number, why=reason)
+
+    def _unusable_reasons(self, version: Site) -> tuple[str, ...]:
+        """The reasons why this front cannot apply a version now. Is also called from other threads."""
+        terms = self._terms
+        return unusable_at_start(self._start_site, version) if terms is None else unusable(terms, version)
+
+    def _take_version(self, version: Take) -> None:
+        """Puts a version in force. Before the start it becomes the site. Later it is applied as a whole
+        between two calls of the engine."""
         if self._terms is None:
-            self.site = at_start(self._own, version.site)
+            self.site = at_start(self._start_site, version.site)
             self._terms = begun(self.site, version.number, version.digest)
         else:
             self.apply(lambda now: self._put_in_force(now, version))
         log.info("config-in-force", version=version.number, digest=version.digest)
-        if self._noted is not None:
-            self._noted("in-force", front=self.me, version=version.number, digest=version.digest)
+        if self._record_event is not None:
+            self._record_event("in-force", front=self.me, version=version.number, digest=version.digest)
 
     def _put_in_force(self, now: int, version: Take) -> list[Effect]:
-        held = self.terms
-        self._terms = self.viewers.terms = fresh = taken(held, version.site, version.number, version.digest)
-        self.site = site = fresh.site
+        old_terms = self.terms
+        self._terms = self.viewers.terms = new_terms = taken(
+            old_terms, version.site, version.number, version.digest
+        )
+        self.site = site = new_terms.site
         if self.hinting is not None:
             self.hinting.site = site
-        self.gate.limits, self.web.bounds = site.limits, bounds_of(site.limits)
-        if self.seating is not None and site.seats != held.site.seats:
+        self.gate.limits, self.web.bounds = site.limits, http_bounds(site.limits)
+        if self.seating is not None and site.seats != old_terms.site.seats:
             self.seating.set_limits(site.seats.limits)
-        # What is told at each start, and what is this front's own, stays as it was
-        old = self.engine.facts
+        # The other facts are fixed at the start or are this front's own.
+        old_facts = self.engine.facts
         facts = replace(
-            old,
+            old_facts,
             groups=site.facts.groups,
             tenants=site.facts.tenants,
             ladder=site.facts.ladder,
             over_share_utility=site.facts.over_share_utility,
         )
-        return self.engine.update_facts(now, facts) if facts != old else []
+        return self.engine.update_facts(now, facts) if facts != old_facts else []
 
     def drain(self) -> None:
-        """No new requests; the second call ends it."""
+        """Refuses new requests from now on. The second call stops the front."""
         if self.gate.draining:
             self._stopping.set()
         self.gate.draining = True
         log.info("draining", in_hand=self.engine.requests_in_hand, held=self.engine.sessions_held)
 
     async def run(self, path: Path | None = None) -> None:
-        """Serve until SIGTERM has drained the front, or a second one ends it."""
+        """Serves until SIGTERM or SIGINT has drained the front, or a second signal stops it.
+
+        SIGHUP reloads the site file at `path`."""
         loop = asyncio.get_running_loop()
-        for number in (signal.SIGTERM, signal.SIGINT):
-            loop.add_signal_handler(number, self.drain)
+        for signal_number in (signal.SIGTERM, signal.SIGINT):
+            loop.add_signal_handler(signal_number, self.drain)
         if path is not None:
             loop.add_signal_handler(signal.SIGHUP, self.reload, path)
-        limit: int | None = None
+        deadline: int | None = None
         while not self._stopping.is_set():
             with contextlib.suppress(TimeoutError):
                 await within(0.05, self._stopping.wait())
             if self.gate.draining:
-                limit = limit or clock() + self.site.limits.drain_time
-                if self.engine.requests_in_hand == 0 and (self.engine.sessions_held == 0 or clock() >= limit):
+                deadline = deadline or clock() + self.site.limits.drain_time
+                if self.engine.requests_in_hand == 0 and (
+                    self.engine.sessions_held == 0 or clock() >= deadline
+                ):
                     break
         await self.stop()
 
     async def stop(self) -> None:
-        """End: what waits is answered, what plays is torn down, then every socket closes."""
+        """Answers the requests that wait, tears down the sessions that play, then closes every socket."""
         self.gate.draining = self.web.closing = True
         self.apply(self.engine.stop)
-        await self.web.finish(LAST_ANSWERS_S)
+        await self.web.finish(FINAL_ANSWERS_TIMEOUT_S)
         for task in self._tasks:
             task.cancel()
         await asyncio.sleep(0)
@@ -344,26 +360,29 @@
         self.words.close()
         await self.web.close()
         await self.metrics_web.close()
-        await asyncio.sleep(0)  # closed sockets leave the loop in its next round
+        await asyncio.sleep(0)  # the event loop drops closed sockets in its next iteration
         self._pump.close()
         if self.tracer is not None:
             self.engine.on_event_handled = None
             self.tracer.close()
         if self.hinting is not None and self.hinting.intake.counts:
-            log.info("hints", **{k.replace(" ", "_"): n for k, n in self.hinting.intake.counts.items()})
+            log.info(
+                "hints",
+                **{name.replace(" ", "_"): count for name, count in self.hinting.intake.counts.items()},
+            )
         log.info("front-stopped", me=self.me)
 
     def kill(self) -> None:
-        """End as a killed process does: sockets close, nobody is told (tests)."""
+        """Ends without notifying anyone, as a killed process does. For tests."""
         for task in [*self._tasks, *self.servers.tasks]:
             task.cancel()
         if self.following is not None:
             self.following.end()
         self._pump.close()
 
-    # What metrics show
+    # Metrics
 
-    def _samples(self) -> Iterator[Sample]:
+    def _metric_samples(self) -> Iterator[Sample]:
         counts, seal = self.engine.counts, self.words.seal
         yield (
             "counter",
@@ -468,12 +487,12 @@
         if isinstance(self.decisions, Front):
             front, now = self.decisions, clock()
             with unchanged_decisions(front, now):
-                rows = [s for s in front.servers.values() if s.row.state is not ServerState.GONE]
-                idle = {str(number): kb for number, kb in front.idle_by_server(rows, 1.0).items()}
-                rests = {str(s.row.server): float(front.setup_backoff_until(s) > now) for s in rows}
-                avoided = {str(s.row.server): float(front.is_avoided(s)) for s in rows}
-                fleet = list(self._fleet_samples(front, now)) if front.fleet.gossip_enabled else []
-            yield from fleet
+                servers = [s for s in front.servers.values() if s.row.state is not ServerState.GONE]
+                idle = {str(number): kb for number, kb in front.idle_by_server(servers, 1.0).items()}
+                resting = {str(s.row.server): float(front.setup_backoff_until(s) > now) for s in servers}
+                avoided = {str(s.row.server): float(front.is_avoided(s)) for s in servers}
+                fleet_samples = list(self._fleet_samples(front, now)) if front.fleet.gossip_enabled else []
+            yield from fleet_samples
             yield "gauge", "avoided", "Whether a server is avoided by others' evidence.", "server", avoided
             yield (
                 "gauge",
@@ -482,25 +501,25 @@
                 "server",
                 idle,
             )
-            yield "gauge", "resting", "Whether a server rests after failures.", "server", rests
+            yield "gauge", "resting", "Whether a server rests after failures.", "server", resting
 
-    def _fleet(self) -> dict[str, Any]:
-        """What `ponddoor fleet show` shows."""
+    def _fleet_state(self) -> dict[str, Any]:
+        """The body of GET /fleet, which `ponddoor fleet show` prints."""
         if not isinstance(self.decisions, Front):
             return {}
         front, now = self.decisions, clock()
         with unchanged_decisions(front, now):
-            servers = [n for n, s in front.servers.items() if s.row.state is not ServerState.GONE]
+            servers = [number for number, s in front.servers.items() if s.row.state is not ServerState.GONE]
             words = {"out": self.words.sent_traffic.kinds, "in": self.words.received_traffic.kinds}
-            used = {"words": words, "processor_s": time.process_time(), "at_us": now}
-            return shown(front.fleet, servers) | used
+            process_state = {"words": words, "processor_s": time.process_time(), "at_us": now}
+            return shown(front.fleet, servers) | process_state
 
     def _fleet_samples(self, front: Front, now: int) -> Iterator[Sample]:
-        fleet, stands = front.fleet, dict[str, float]()
-        for one in fleet.presence.members:
-            name = fleet.presence.state_of(one).value
-            stands[name] = stands.get(name, 0) + 1
-        yield "gauge", "fronts", "Other fronts, as this one takes them to stand.", "stands", stands
+        fleet, counts = front.fleet, dict[str, float]()
+        for member in fleet.presence.members:
+            state = fleet.presence.state_of(member).value
+            counts[state] = counts.get(state, 0) + 1
+        yield "gauge", "fronts", "Other fronts, as this one takes them to stand.", "stands", counts
         yield (
             "gauge",
             "fronts_reached",
@@ -513,7 +532,7 @@
             "fleet_hears",
             "How this front hears the others: 1 at the one that holds.",
             "how",
-            {how.value: float(fleet.presence.connectivity(now) is how) for how in Connectivity},
+            {level.value: float(fleet.presence.connectivity(now) is level) for level in Connectivity},
         )
         yield (
             "gauge",
@@ -534,26 +553,30 @@
         yield "counter", "counts_refused", "Words on counts that were old.", "", {"": fleet.counts.refused}
 
     def _config_samples(self, following: Following) -> Iterator[Sample]:
-        core = following.follower
-        apart = 0.0 if core.apart_since is None else (clock() - core.apart_since) / SECOND
+        follower = following.follower
+        apart_s = 0.0 if follower.apart_since is None else (clock() - follower.apart_since) / SECOND
         for name, text, value in (
-            ("config_version", "Version of the shared configuration in force; 0: none yet.", core.version),
-            ("config_head", "Newest version known here.", core.head),
-            ("config_refused", "A newer version that can't be used here; 0: none.", core.refused[0]),
-            ("config_apart_seconds", "For how long no instance with a leader was heard.", apart),
+            (
+                "config_version",
+                "Version of the shared configuration in force; 0: none yet.",
+                follower.version,
+            ),
+            ("config_head", "Newest version known here.", follower.head),
+            ("config_refused", "A newer version that can't be used here; 0: none.", follower.refused[0]),
+            ("config_apart_seconds", "For how long no instance with a leader was heard.", apart_s),
         ):
             yield "gauge", name, text, "", {"": float(value)}
-        counts = {**core.counts, **following.counts}
+        counts = {**follower.counts, **following.counts}
         yield "counter", "config_follow", "What came of following, by kind.", "what", _floats(counts)
 
     def _seat_samples(self, core: Seats) -> Iterator[Sample]:
         held = sum(len(share.seats) for share in core.shares.values())
         yield "gauge", "seats_held", "Seats granted by this front that run.", "", {"": held}
-        lent = sum(one.count for book in core.books.values() for one in book.lent.values())
+        lent = sum(loan.count for book in core.books.values() for loan in book.lent.values())
         yield "gauge", "seats_lent", "Seats this home has lent, to itself as well.", "", {"": lent}
         yield "counter", "seats_refused", "Seats refused, by reason.", "why", _floats(core.refused)
         yield "counter", "seat_messages", "Messages to other fronts about seats.", "", {"": core.messages}
 
 
-def _floats(table: dict[str, int]) -> dict[str, float]:
-    return {word: float(count) for word, count in table.items()}
+def _floats(counts: dict[str, int]) -> dict[str, float]:
+    return {name: float(count) for name, count in counts.items()}
--- a/ponddoor/front/trace.py
+++ b/ponddoor/front/trace.py
@@ -1,8 +1,9 @@
-"""What a front was told and what it asked for, line by line, and the same again in virtual time.
+"""Records the events and actions of a front, and replays them in virtual time.
 
-A trace holds the facts, the moment of the front's birth, and each event with its moment and the actions that
-followed. `replay` feeds the events to a fresh front through the same driver; what it asks for is encoded by
-the bench's codec and must be the same to the byte."""
+A trace is a file of JSON lines. The first has the facts and the time at which the front was made, each other
+line an event with its time and the resulting actions. `replay` passes the events to a new front through the
+same driver. Its actions, encoded by the simulator adapter's codec, must equal the recorded ones byte for
+byte."""
 
 from collections import Counter
 from collections.abc import Iterator
@@ -28,11 +29,11 @@
 
 
 class TraceError(Exception):
-    """A file that is no trace, or of another version."""
+    """The file is not a trace, or has another version."""
 
 
 class Tracer:
-    """Writes a trace; each line is whole before the next begins."""
+    """Writes a trace, one line for each event."""
 
     def __init__(self, path: Path, facts: SiteFacts, born: int) -> None:
         self._file = path.open("wb")
@@ -41,48 +42,54 @@
     def _write(self, row: dict[str, Any]) -> None:
         self._file.write(msgspec.json.encode(row) + b"\n")
 
-    def fed(self, now: int, event: ev.Event, actions: list[Action]) -> None:
+    def write_event(self, now: int, event: ev.Event, actions: list[Action]) -> None:
         self._write(
-            {"now": now, "kind": type(event).__name__, "event": event, "actions": in_bytes(actions).hex()}
+            {
+                "now": now,
+                "kind": type(event).__name__,
+                "event": event,
+                "actions": encode_actions(actions).hex(),
+            }
         )
 
     def close(self) -> None:
         self._file.close()
 
 
-def in_bytes(actions: list[Action]) -> bytes:
-    """Actions as the bench's wire has them."""
+def encode_actions(actions: list[Action]) -> bytes:
+    """Encodes actions in the wire format of the simulator's adapter."""
     return codec.encode_actions(0, actions)
 
 
 @dataclass(slots=True)
-class Replayed:
-    """What a replay found: events by kind, and the first difference by its line, if there is one."""
+class ReplayResult:
+    """The events by kind, how many led to the same or to different actions, and the line of the first
+    difference (empty if there is none)."""
 
     events: Counter[str] = field(default_factory=Counter)
     same: int = 0
     different: int = 0
-    first: str = ""
+    first_difference: str = ""
 
 
-def replay(path: Path) -> Replayed:
-    """Play a trace again in virtual time. Raises TraceError; a last line that was cut off is left out."""
+def replay(path: Path) -> ReplayResult:
+    """Replays a trace in virtual time. A truncated last line is ignored. Raises TraceError."""
     rows = _rows(path)
     head = next(rows, {})
     if head.get("version") != VERSION:
-        raise TraceError(f"{path}: no trace of version {VERSION}")
+        raise TraceError(f"{path}: not a trace of version {VERSION}")
     facts = msgspec.convert(head["facts"], type=SiteFacts)
-    driver, found = Driver(Front(facts, head["born"])), Replayed()
+    driver, result = Driver(Front(facts, head["born"])), ReplayResult()
     for number, row in enumerate(rows, 2):
         event = msgspec.convert(row["event"], type=EVENTS[row["kind"]])
-        found.events[row["kind"]] += 1
-        got = in_bytes(driver.handle(row["now"], event)).hex()
-        if got == row["actions"]:
-            found.same += 1
+        result.events[row["kind"]] += 1
+        actions = encode_actions(driver.handle(row["now"], event)).hex()
+        if actions == row["actions"]:
+            result.same += 1
             continue
-        found.different += 1
-        found.first = found.first or f"line {number}, {row['kind']} at {row['now']}"
-    return found
+        result.different += 1
+        result.first_difference = result.first_difference or f"line {number}, {row['kind']} at {row['now']}"
+    return result
 
 
 def _rows(path: Path) -> Iterator[dict[str, Any]]:
--- a/tests/following/test_front.py
+++ b/tests/following/test_front.py
@@ -175,7 +175,7 @@
 
     lived(live, tmp_path)
     found = replay(path)
-    assert (found.different, found.first) == (0, "") and found.events["NewTerms"] >= 1
+    assert (found.different, found.first_difference) == (0, "") and found.events["NewTerms"] >= 1
 
 
 # What is refused
--- a/tests/front/conftest.py
+++ b/tests/front/conftest.py
@@ -219,7 +219,7 @@
 
     async def front(self, me: int, site: Site | None = None) -> FrontProcess:
         kept = self.kept.with_name(f"{me}-{self.kept.name}") if self.kept is not None else None
-        made = FrontProcess(site or self.site, me, kept, seed=me + 1, deciding=self.deciding)
+        made = FrontProcess(site or self.site, me, kept, seed=me + 1, make_decisions=self.deciding)
         await made.start()
         return made
 
--- a/tests/front/test_trace.py
+++ b/tests/front/test_trace.py
@@ -31,7 +31,7 @@
 
     asyncio.run(live())
     found = replay(path)
-    assert (found.different, found.first) == (0, "") and found.same > 60
+    assert (found.different, found.first_difference) == (0, "") and found.same > 60
     assert {
         "SessionRequest",
         "Started",
--- a/tests/front/test_world.py
+++ b/tests/front/test_world.py
@@ -501,8 +501,8 @@
     async def live(world: World) -> None:
         front: Any = world.fronts[0].decisions
         before = (front.now, front.fleet.now, dict(front.fleet.synced_cache), dict(front.fleet.synced_since))
-        world.fronts[0].acting.log_changes(front, before[0] + 5_000_000)
-        list(world.fronts[0]._samples())
+        world.fronts[0].active_mechanisms.log_changes(front, before[0] + 5_000_000)
+        list(world.fronts[0]._metric_samples())
         assert (front.now, front.fleet.now, front.fleet.synced_cache, front.fleet.synced_since) == before
 
     in_world(live)
