--- a/ponddoor/front/hinting.py
+++ b/ponddoor/front/hinting.py
@@ -1,4 +1,4 @@
-"""The shell of the hints of one front: what requests, reports and servers carry goes in, CMSD comes out."""
+"""Passes the CMCD and CMSD hints of players and servers to the engine, and makes the CMSD for players."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
@@ -13,12 +13,15 @@
 from ponddoor.settings.site import Site
 from ponddoor.web.server import HttpError, Request, decoded
 
-MILLISECOND = 1000
+MILLISECOND = 1000  # in microseconds
 
 
 @dataclass(slots=True)
 class Hinting:
-    """All hints of one front. `apply` calls the engine at the clock; `clock` is the front's own."""
+    """All hints of one front.
+
+    `apply` calls the engine with the time of the clock. `clock` is the front's own, in microseconds.
+    `servers` holds the last believed hint of each server."""
 
     site: Site
     me: int
@@ -26,129 +29,147 @@
     apply: Callable[[Callable[[int], list[Effect]]], None]
     clock: Callable[[], int]
     intake: Intake = field(default_factory=Intake)
-    servers: dict[int, ServerHint] = field(default_factory=dict)  # what each last said and was believed
+    servers: dict[int, ServerHint] = field(default_factory=dict)
 
     # From players
 
-    def on_request(self, request: Request, body: dict[str, Any] | None, ask: ViewerRequest) -> Means | None:
-        """The hints on a request for a session."""
+    def on_request(
+        self, request: Request, body: dict[str, Any] | None, viewer_request: ViewerRequest
+    ) -> Means | None:
+        """Handles the hints on a request for a session. Returns None if it has none."""
         read = self._read(request, body)
         if not read.values:
             return None
-        return self.intake.asked(self.clock(), *self._source(ask), read.values)
+        return self.intake.asked(self.clock(), *self._source(viewer_request), read.values)
 
-    def report(self, sess: str, request: Request) -> int:
-        """A player's reports on its session; returns how many were taken. Raises HttpError 415."""
-        kind = request.headers.get("content-type", "").partition(";")[0].strip().lower()
+    def take_reports(self, sess: str, request: Request) -> int:
+        """Handles a player's reports on its session. Returns how many were accepted. Raises HttpError 415."""
+        media_type = request.headers.get("content-type", "").partition(";")[0].strip().lower()
         now = self.clock()
-        if kind == cmcd.REPORTS:
+        if media_type == cmcd.REPORTS:
             reports, read = cmcd.read_reports(request.body)
             self.intake.lost(read.lost)
-        elif kind in ("", "application/json"):
+        elif media_type in ("", "application/json"):
             body = decoded(request.body, dict[str, Any]) if request.body else None
             reports = [self._read(request, body).values]
         else:
-            raise HttpError(415, "unknown-media-type", f"{kind[:100]}: {cmcd.REPORTS} or application/json")
-        return sum(self._told(now, sess, values, age, "report") for values, age in _aged(reports))
+            raise HttpError(
+                415, "unknown-media-type", f"{media_type[:100]}: {cmcd.REPORTS} or application/json"
+            )
+        return sum(
+            self._take_player_hint(now, sess, values, age_us, "report")
+            for values, age_us in _reports_with_age(reports)
+        )
 
     def _read(self, request: Request, body: dict[str, Any] | None) -> Read:
+        """Reads the hints on a request from its headers, query and body."""
         read = cmcd.read_request(request.headers, request.query.get(cmcd.ARGUMENT, ""), body)
         self.intake.lost(read.lost)
         return read
 
-    def _told(self, now: int, sess: str, values: Values, age: int, origin: str) -> bool:
-        self._register(now, sess)
-        means = self.intake.told(now, sess, values, age, origin)
+    def _take_player_hint(self, now: int, sess: str, values: Values, age_us: int, origin: str) -> bool:
+        """Passes a player's hint to the engine. Returns whether it was accepted."""
+        self._update_session(now, sess)
+        means = self.intake.told(now, sess, values, age_us, origin)
         if means is not None:
-            self.apply(lambda at: self.engine.player_hint(at, sess, means))
+            self.apply(lambda engine_now: self.engine.player_hint(engine_now, sess, means))
         return means is not None
 
-    def _register(self, now: int, sess: str) -> None:
-        held = self.engine.find(sess)
-        if held is None or held.phase is not Phase.PLAYING:
+    def _update_session(self, now: int, sess: str) -> None:
+        """Tells the intake the state of a session that a hint is about."""
+        record = self.engine.find(sess)
+        if record is None or record.phase is not Phase.PLAYING:
             self.intake.over(sess)
         else:
-            self.intake.playing(now, sess, *self._source(held.request), held.server, held.rate_kb)
+            self.intake.playing(now, sess, *self._source(record.request), record.server, record.rate_kb)
 
-    def _source(self, ask: ViewerRequest) -> tuple[str, str]:
-        """The viewer and the tenant by which a session's hints are judged, empty where none is named."""
+    def _source(self, viewer_request: ViewerRequest) -> tuple[str, str]:
+        """The viewer and the tenant whose trust applies to a session's hints; each empty if not given."""
         tenants = self.site.facts.tenants
-        return str(ask.viewer) if ask.viewer else "", tenants[ask.tenant].name if tenants else ""
+        return str(viewer_request.viewer) if viewer_request.viewer else "", tenants[
+            viewer_request.tenant
+        ].name if tenants else ""
 
-    def over(self, sess: str) -> None:
+    def session_ended(self, sess: str) -> None:
         self.intake.over(sess)
 
     # From servers
 
-    def passed_on(
-        self, server: int, sess: str, headers: dict[str, str], dynamic: str, gets_kb: float, age: int
+    def segment_request(
+        self, server: int, sess: str, headers: dict[str, str], dynamic: str, received_kb: float, age_us: int
     ) -> None:
-        """What a server saw on a segment request: the player's hints, the rate at which it took the segment,
-        and in its own CMSD what it could have given."""
-        held = self.engine.find(sess)
-        if held is None or held.server != server:
+        """Handles what a server reports of a segment request.
+
+        `headers` are the player's CMCD headers, `dynamic` is the server's CMSD-Dynamic with the rate that it
+        could have delivered, and `received_kb` is the rate in kB a second at which the player received the
+        segment (0 if unknown)."""
+        record = self.engine.find(sess)
+        if record is None or record.server != server:
             self.intake.count("dropped other-server")
             return
         now = self.clock()
         read = cmcd.read_headers(headers)
         self.intake.lost(read.lost)
-        if gets_kb > 0:
-            self._register(now, sess)
-            hops, lost = cmsd.read_dynamic(dynamic)
-            self.intake.lost(lost.lost)
+        if received_kb > 0:
+            self._update_session(now, sess)
+            hops, dynamic_read = cmsd.read_dynamic(dynamic)
+            self.intake.lost(dynamic_read.lost)
             offered = hops[-1].values.get("etp", 0) if hops else 0
-            self.intake.took(now - age, sess, gets_kb, offered * KB_PER_KBIT)
+            self.intake.took(now - age_us, sess, received_kb, offered * KB_PER_KBIT)
         if read.values:
-            self._told(now, sess, read.values, age, "passed-on")
+            self._take_player_hint(now, sess, read.values, age_us, "passed-on")
 
-    def server_said(self, server: int, dynamic: str, static: str, age: int) -> None:
-        """A server's CMSD: its own entry is the last one, next to us."""
+    def server_cmsd(self, server: int, dynamic: str, static: str, age_us: int) -> None:
+        """Handles a server's CMSD. Its last entry is the server's own, as that of the hop nearest to us."""
         hops, read = cmsd.read_dynamic(dynamic)
-        fixed = cmsd.read_static(static)
-        read.take(fixed)
+        static_read = cmsd.read_static(static)
+        read.take(static_read)
         self.intake.lost(read.lost)
         if not hops:
             return
-        values = hops[-1].values | {name: fixed.values[name] for name in ("ht",) if name in fixed.values}
-        hint = self.intake.server_said(self.clock(), server, values, age)
+        values = hops[-1].values | {
+            name: static_read.values[name] for name in ("ht",) if name in static_read.values
+        }
+        hint = self.intake.server_said(self.clock(), server, values, age_us)
         if hint is not None:
             self.servers[server] = hint
             self.apply(lambda now: self.engine.server_hint(now, hint))
 
-    def measured(self, server: int, share: float) -> None:
+    def server_delivered(self, server: int, share: float) -> None:
+        """Handles the delivered share that a server reports."""
         self.intake.measured(self.clock(), server, share)
 
-    def alive(self, server: int) -> None:
-        """A server that is heard and says nothing of its share still delivers what it last did."""
-        held = self.intake.servers.get(server)
-        self.intake.measured(self.clock(), server, held.share if held is not None else 1.0)
+    def server_alive(self, server: int) -> None:
+        """Handles a note without a share: the server is taken to deliver the last known share still."""
+        source = self.intake.servers.get(server)
+        self.intake.measured(self.clock(), server, source.share if source is not None else 1.0)
 
-    def gone(self, server: int) -> None:
+    def server_gone(self, server: int) -> None:
         self.intake.gone(server)
         self.servers.pop(server, None)
 
     # To players
 
-    def dynamic(self, held: SessionRecord) -> str:
-        """CMSD-Dynamic for a session that plays: its rung in force is the most it should ask for."""
-        said = self.servers.get(held.server)
-        values: Values = {"mb": round(held.rate_kb / KB_PER_KBIT)}
-        if said is not None:
-            values["du"] = said.duress
-            if said.throughput_kb is not None:
-                values["etp"] = round(said.throughput_kb / KB_PER_KBIT)
+    def dynamic(self, record: SessionRecord) -> str:
+        """The CMSD-Dynamic header of a session: the player should request at most its current rung."""
+        hint = self.servers.get(record.server)
+        values: Values = {"mb": round(record.rate_kb / KB_PER_KBIT)}
+        if hint is not None:
+            values["du"] = hint.duress
+            if hint.throughput_kb is not None:
+                values["etp"] = round(hint.throughput_kb / KB_PER_KBIT)
         return cmsd.write_dynamic([cmsd.Hop(f"{self.site.name}-{self.me}", values)])
 
 
-def _aged(reports: list[Values]) -> list[tuple[Values, int]]:
+def _reports_with_age(reports: list[Values]) -> list[tuple[Values, int]]:
     """Each report with its age in microseconds, oldest first.
 
-    By the player's own clock against its newest report, which counts as taken now: its clock need not be
-    ours. One without a time is as new as the newest."""
+    The age is relative to the newest report, whose age counts as 0, because the player's clock may differ
+    from ours. A report without a time has age 0."""
     stamps = [ts if isinstance(ts := values.get("ts"), int) else None for values in reports]
     newest = max((ts for ts in stamps if ts is not None), default=0)
     aged = [
         (values, 0 if ts is None else (newest - ts) * MILLISECOND)
         for values, ts in zip(reports, stamps, strict=True)
     ]
-    return sorted(aged, key=lambda one: -one[1])
+    return sorted(aged, key=lambda report: -report[1])
--- a/ponddoor/front/metrics.py
+++ b/ponddoor/front/metrics.py
@@ -1,4 +1,4 @@
-"""Serves a front's metrics in the Prometheus text format and its view of the fleet at an address of their own."""
+"""Serves a front's metrics in the Prometheus text format and the fleet's state, at a separate address."""
 
 from collections.abc import Callable, Iterable, Iterator
 from typing import Any
--- a/ponddoor/front/servers.py
+++ b/ponddoor/front/servers.py
@@ -116,7 +116,7 @@
 
     def _drop(self, number: int) -> None:
         if self.hinting is not None:
-            self.hinting.gone(number)
+            self.hinting.server_gone(number)
         self._leaving.discard(number)
         link = self.links.pop(number)
         if link.notes is not None:
@@ -312,15 +312,15 @@
         age_us = round(min(max(note.age_ms, -3.6e6), 3.6e6) * 1000)
         match note.note:
             case "delivered":
-                hinting.measured(number, note.value)
+                hinting.server_delivered(number, note.value)
             case "hints":
-                hinting.passed_on(
+                hinting.segment_request(
                     number, note.sess, note.cmcd, note.cmsd.get("dynamic", ""), note.value, age_us
                 )
             case "cmsd":
-                hinting.server_said(number, note.cmsd.get("dynamic", ""), note.cmsd.get("static", ""), age_us)
+                hinting.server_cmsd(number, note.cmsd.get("dynamic", ""), note.cmsd.get("static", ""), age_us)
             case _:
-                hinting.alive(number)
+                hinting.server_alive(number)
 
     async def close(self, wait: float) -> None:
         """Wait up to `wait` seconds for pending requests such as teardowns, then close everything."""
--- a/ponddoor/front/viewers.py
+++ b/ponddoor/front/viewers.py
@@ -126,7 +126,7 @@
                 if event == "ended":
                     self._release_seat(sess)
                     if self.hinting is not None:
-                        self.hinting.over(sess)
+                        self.hinting.session_ended(sess)
                 for queue in self.event_queues.get(sess, []):
                     if queue.qsize() < MAX_QUEUED_EVENTS:
                         queue.put_nowait(line)
@@ -270,7 +270,7 @@
     def _take_hints(self, record: SessionRecord, request: Request) -> Reply:
         if self.hinting is None:
             raise HttpError(404, "no-hints", "this site takes no hints")
-        taken_count = self.hinting.report(record.sess, request)
+        taken_count = self.hinting.take_reports(record.sess, request)
         return Reply(200, {"taken": taken_count}, self._cmsd_headers(record))
 
     # Seats
