--- a/ponddoor/cli.py
+++ b/ponddoor/cli.py
@@ -682,7 +682,8 @@
         different += found.different
         kinds = ", ".join(f"{count} {kind}" for kind, count in sorted(found.events.items()))
         click.echo(
-            f"{path.name}: {found.same} the same, {found.different} different {found.first_difference} ({kinds})"
+            f"{path.name}: {found.same} the same, {found.different} different "
+            f"{found.first_difference} ({kinds})"
         )
     sys.exit(1 if different else 0)
 
