--- a/tests/front/test_audit.py
+++ b/tests/front/test_audit.py
@@ -1,4 +1,4 @@
-"""The audit proves something: for each rule a front broken on purpose is found, with session and moment."""
+"""The audit reports a front with a seeded fault, with rule, session and time, and accepts a correct front."""
 
 import asyncio
 import contextlib
@@ -23,36 +23,42 @@
 from .conftest import World, living, site_text
 
 
-class NeverAnswers(Front):
+class NeverAnswersFront(Front):
+    """Waits an hour on each session request instead of deciding it."""
+
     def session(self, req: ev.SessionRequest) -> Script:
         yield act.Wait(self.now + 3_600_000_000)
 
 
-class SendsTwo(Front):
-    """Sends on before the SETUP that is out has an outcome."""
+class ConcurrentSetupsFront(Front):
+    """Sends a second SETUP for a session while the first one is still in flight."""
 
     def upkeep(self) -> Iterable[Script]:
-        return [self.again()]
+        return [self.send_second_setup()]
 
-    def again(self) -> Script:
+    def send_second_setup(self) -> Script:
         while not self.sessions:
             yield act.Wait(self.now + 10_000)
         yield act.Setup(next(iter(self.sessions)), next(iter(self.servers)), 1_000_000)
 
 
-class DeafToDrains(Front):
+class IgnoresDrainsFront(Front):
+    """Treats every server as ready, whatever state the server list gives."""
+
     def record_server_news(self, news: ev.ServerNews) -> None:
-        rows = tuple(as_ready(row) for row in news.rows)
+        rows = tuple(with_ready_state(row) for row in news.rows)
         super().record_server_news(ev.ServerNews(news.scope, rows))
 
 
-def as_ready(row: ev.ServerRow) -> ev.ServerRow:
+def with_ready_state(row: ev.ServerRow) -> ev.ServerRow:
     return ev.ServerRow(
         row.server, row.zone, row.kind, row.cell, ev.ServerState.READY, row.weight, row.started_at
     )
 
 
-class Rushes(Front):
+class UnpacedFront(Front):
+    """Applies neither pacing of cold servers nor backoff after failed set-ups."""
+
     def paced_until(self, server: Server) -> int:
         return 0
 
@@ -60,7 +66,9 @@
         return 0
 
 
-class ForgetsSeats(Front):
+class MiscountsSeatsFront(Front):
+    """Discards its count of seats in use, so that the seat limit never applies."""
+
     def eligible_holders(self, sess: Sess, paced: bool = True) -> list[Server]:
         self.seats_in_use.clear()
         self.seats_in_use[sess.seat_key()] = -100
@@ -71,148 +79,173 @@
         super().release(sess)
 
 
-class UnderTheFloor(Front):
+class BelowFloorFront(Front):
+    """Sets every session up at rung 0, also where the group's floor is higher."""
+
     def serve(self, sess: Sess) -> Script:
         yield act.SetRung(sess.req.req_id, 0)
-        got = yield act.Setup(sess.req.req_id, next(iter(self.servers)), 1_000_000)
-        if isinstance(got, ev.Started):
+        outcome = yield act.Setup(sess.req.req_id, next(iter(self.servers)), 1_000_000)
+        if isinstance(outcome, ev.Started):
             yield act.Play()
             return
         yield act.BusyReply(sess.req.req_id, 0)
 
 
-class Spends(Front):
+class UnlimitedRetriesFront(Front):
+    """Limits retries by the attempts per session only, not by the set-up budget."""
+
     def retries_exhausted(self, sess: Sess) -> bool:
         return len(sess.attempts) >= self.facts.permissions.max_attempts
 
 
-async def one(world: World) -> None:
+async def send_request(world: World) -> None:
     with contextlib.suppress(LateError):
         await world.ask(timeout=2.6)
 
 
-async def slowed(world: World) -> None:
+async def send_request_to_slow_servers(world: World) -> None:
     for media in world.media:
         media.fault(Fault("slow", size=3))
-    await one(world)
+    await send_request(world)
 
 
-async def rush(world: World) -> None:
+async def send_burst_to_restarted_server(world: World) -> None:
     world.media[0].begin_anew()
     await world.until(lambda: world.listing.entries[100].started_us)
-    await asyncio.sleep(0.3)  # told for longer than the audit's slack
+    await asyncio.sleep(0.3)  # the restart has been listed for longer than the audit's tolerance
     await asyncio.gather(*(world.ask() for _ in range(10)))
 
 
-async def many(world: World) -> None:
+async def send_concurrent_requests(world: World) -> None:
     await asyncio.gather(*(world.ask() for _ in range(5)))
 
 
-async def drained(world: World) -> None:
+async def send_request_to_draining_servers(world: World) -> None:
     for number in list(world.listing.entries):
         world.listing.publish(msgspec.structs.replace(world.listing.entries[number], state="draining"))
-    await asyncio.sleep(0.5)  # longer than the grace
+    await asyncio.sleep(0.5)  # longer than the audit's grace period after a drain
     await world.ask()
 
 
-async def failing(world: World) -> None:
+async def send_requests_to_failing_servers(world: World) -> None:
     for media in world.media:
         media.fault(Fault("fast_errors", size=1.0))
     await asyncio.gather(*(world.ask() for _ in range(4)))
 
 
-BROKEN: dict[str, tuple[str, type[Front], Callable[[World], Any], dict[str, Any]]] = {
-    "never answers": ("none lost", NeverAnswers, one, {}),
-    "two SETUPs out": ("no double set-up", SendsTwo, slowed, {}),
-    "an unsafe set-up again": ("no double set-up", Front, failing, {"group": "(effect unsafe)"}),
-    "deaf to drains": ("drains kept", DeafToDrains, drained, {}),
-    "rushes a cold server": ("cold servers", Rushes, rush, {"servers": 1, "streams": 4, "cold": "8s"}),
-    "forgets seats": ("terms kept", ForgetsSeats, many, {"group": "(seats 2)"}),
-    "under the floor": ("terms kept", UnderTheFloor, one, {"group": "(floor 1)"}),
-    "spends beyond": ("setup budget", Spends, failing, {"rules": "(budget (spare 1) (ratio 0.1) (span 5s))"}),
+SEEDED_FAULTS: dict[str, tuple[str, type[Front], Callable[[World], Any], dict[str, Any]]] = {
+    "never answers": ("none lost", NeverAnswersFront, send_request, {}),
+    "two SETUPs in flight": ("no double set-up", ConcurrentSetupsFront, send_request_to_slow_servers, {}),
+    "repeats an unsafe SETUP": (
+        "no double set-up",
+        Front,
+        send_requests_to_failing_servers,
+        {"group": "(effect unsafe)"},
+    ),
+    "ignores drains": ("drains kept", IgnoresDrainsFront, send_request_to_draining_servers, {}),
+    "overloads a cold server": (
+        "cold servers",
+        UnpacedFront,
+        send_burst_to_restarted_server,
+        {"servers": 1, "streams": 4, "cold": "8s"},
+    ),
+    "miscounts seats": ("terms kept", MiscountsSeatsFront, send_concurrent_requests, {"group": "(seats 2)"}),
+    "below the floor": ("terms kept", BelowFloorFront, send_request, {"group": "(floor 1)"}),
+    "exceeds the set-up budget": (
+        "setup budget",
+        UnlimitedRetriesFront,
+        send_requests_to_failing_servers,
+        {"rules": "(budget (spare 1) (ratio 0.1) (span 5s))"},
+    ),
 }
 
 
-class Resends(Front):
+class UnsafeResendFront(Front):
+    """Sends a SETUP again also where the facts say that a repeat has an effect."""
+
     def may_resend(self, sess: Sess, server: Server) -> bool:
         return True
 
 
-@pytest.mark.parametrize("case", BROKEN.values(), ids=BROKEN.keys())
-def test_a_front_broken_on_purpose_is_named(case: tuple[str, type[Front], Any, dict[str, Any]]) -> None:
-    rule, deciding, cause, parts = case
-    deciding = Resends if "effect" in str(parts) else deciding
+@pytest.mark.parametrize("case", SEEDED_FAULTS.values(), ids=SEEDED_FAULTS.keys())
+def test_the_audit_names_the_rule_that_a_seeded_fault_breaks(
+    case: tuple[str, type[Front], Any, dict[str, Any]],
+) -> None:
+    rule, front_class, provoke, site_options = case
+    front_class = UnsafeResendFront if "effect" in str(site_options) else front_class
 
-    async def live() -> list[Breach]:
-        world = World(deciding=deciding, **parts)
+    async def run_world() -> list[Breach]:
+        world = World(deciding=front_class, **site_options)
         async with living(world):
-            await cause(world)
+            await provoke(world)
         return world.breaches()
 
-    breaches = asyncio.run(live())
+    breaches = asyncio.run(run_world())
     assert {breach.rule for breach in breaches} == {rule}, list(map(str, breaches))
     assert all(breach.who and breach.at > 0 and breach.detail for breach in breaches)
 
 
-@pytest.mark.parametrize("case", BROKEN.values(), ids=BROKEN.keys())
-def test_a_sound_front_in_the_same_course_breaks_nothing(
+@pytest.mark.parametrize("case", SEEDED_FAULTS.values(), ids=SEEDED_FAULTS.keys())
+def test_a_correct_front_breaks_no_rule_under_the_same_conditions(
     case: tuple[str, type[Front], Any, dict[str, Any]],
 ) -> None:
-    _, _, cause, parts = case
+    _, _, provoke, site_options = case
 
-    async def live() -> list[Breach]:
-        world = World(**parts)
+    async def run_world() -> list[Breach]:
+        world = World(**site_options)
         async with living(world):
-            await cause(world)
+            await provoke(world)
         return world.breaches()
 
-    assert asyncio.run(live()) == []
+    assert asyncio.run(run_world()) == []
 
 
-def rows(*told: tuple[int, str, dict[str, Any]]) -> list[dict[str, Any]]:
-    return [{"at": at * 1000, "who": "x", "what": what, **fields} for at, what, fields in told]
+def rows(*records: tuple[int, str, dict[str, Any]]) -> list[dict[str, Any]]:
+    """Audit rows from (milliseconds, kind, fields)."""
+    return [{"at": at_ms * 1000, "who": "x", "what": kind, **fields} for at_ms, kind, fields in records]
 
 
-def asked(at: int, ask: str = "v") -> tuple[int, str, dict[str, Any]]:
-    return at, "ask", {"ask": ask, "front": 0, "wait_us": 2_000_000, "group": 0}
+def request_row(at_ms: int, ask: str = "v") -> tuple[int, str, dict[str, Any]]:
+    return at_ms, "ask", {"ask": ask, "front": 0, "wait_us": 2_000_000, "group": 0}
 
 
-def answered(at: int, state: str = "playing") -> tuple[int, str, dict[str, Any]]:
-    return at, "answer", {"ask": "v", "front": 0, "status": 201, "state": state, "sess": "s", "unasked": 0}
+def answer_row(at_ms: int, state: str = "playing") -> tuple[int, str, dict[str, Any]]:
+    return at_ms, "answer", {"ask": "v", "front": 0, "status": 201, "state": state, "sess": "s", "unasked": 0}
 
 
-LOST = {
-    "late": rows(asked(0), answered(2600)),
-    "twice": rows(asked(0), answered(100), answered(200)),
-    "no final answer": rows(asked(0), answered(100, "malformed")),
-    "broken off": rows(asked(0), (9, "no-answer", {"ask": "v", "front": 0, "why": "BrokenError"})),
+LOST_REQUESTS = {
+    "late": rows(request_row(0), answer_row(2600)),
+    "twice": rows(request_row(0), answer_row(100), answer_row(200)),
+    "no final answer": rows(request_row(0), answer_row(100, "malformed")),
+    "broken off": rows(request_row(0), (9, "no-answer", {"ask": "v", "front": 0, "why": "BrokenError"})),
 }
 
 
-@pytest.mark.parametrize("record", LOST.values(), ids=LOST.keys())
-def test_ways_to_lose_a_request(record: list[dict[str, Any]]) -> None:
+@pytest.mark.parametrize("record", LOST_REQUESTS.values(), ids=LOST_REQUESTS.keys())
+def test_a_request_without_one_timely_final_answer_is_reported_as_lost(record: list[dict[str, Any]]) -> None:
     assert [breach.rule for breach in audit(record, loads(site_text()).facts)] == ["none lost"]
 
 
-def test_a_killed_front_owes_nothing_and_a_closed_one_took_nothing() -> None:
-    gone = (9, "no-answer", {"ask": "v", "front": 0, "why": "BrokenError"})
-    killed = rows(asked(0), (8, "killed", {"process": "front 0"}), gone)
-    refused = rows(asked(0), (9, "not-taken", {"ask": "v", "front": 0}))
-    for record in (killed, refused):
+def test_requests_to_a_killed_or_closed_front_are_not_reported_as_lost() -> None:
+    no_answer = (9, "no-answer", {"ask": "v", "front": 0, "why": "BrokenError"})
+    killed = rows(request_row(0), (8, "killed", {"process": "front 0"}), no_answer)
+    not_taken = rows(request_row(0), (9, "not-taken", {"ask": "v", "front": 0}))
+    for record in (killed, not_taken):
         assert audit(record, loads(site_text()).facts) == []
 
 
-def test_a_record_cut_off_by_a_kill_is_read_as_far_as_it_goes(tmp_path: Path) -> None:
+def test_a_truncated_record_file_is_read_up_to_the_last_whole_row(tmp_path: Path) -> None:
     path = tmp_path / "media.rec"
     recorder = Recorder(path, "media")
     for number in range(3):
         recorder.note("setup", number=number)
     path.write_bytes(path.read_bytes()[:-9])
-    got, left_out = read(tmp_path)
-    assert [row["number"] for row in got] == [0, 1] and len(left_out) == 1
+    rows_read, truncated = read(tmp_path)
+    assert [row["number"] for row in rows_read] == [0, 1] and len(truncated) == 1
 
 
-def seated(number: int, at: int) -> list[tuple[int, str, dict[str, Any]]]:
+def seated_session(number: int, at_ms: int) -> list[tuple[int, str, dict[str, Any]]]:
+    """Records of a session that takes a seat with limit 1 and plays for two seconds."""
     sess = f"s{number}"
     setup = {
         "sess": sess,
@@ -236,18 +269,18 @@
     }
     ask = {"ask": sess, "front": 0, "wait_us": 2_000_000, "group": 0}
     return [
-        (at, "ask", ask),
-        (at + 1, "setup", setup),
-        (at + 50, "started", {"sess": sess, "attempt": 0}),
-        (at + 51, "outcome", {"sess": sess, "attempt": 0, "result": "started"}),
-        (at + 52, "answer", state),
-        (at + 2000, "ended", {"sess": sess, "attempt": 0, "why": "teardown"}),
+        (at_ms, "ask", ask),
+        (at_ms + 1, "setup", setup),
+        (at_ms + 50, "started", {"sess": sess, "attempt": 0}),
+        (at_ms + 51, "outcome", {"sess": sess, "attempt": 0, "result": "started"}),
+        (at_ms + 52, "answer", state),
+        (at_ms + 2000, "ended", {"sess": sess, "attempt": 0, "why": "teardown"}),
     ]
 
 
-def test_more_streams_than_seats_and_a_stolen_token_are_named() -> None:
+def test_streams_beyond_the_seat_limit_and_a_stolen_token_break_the_seat_rule() -> None:
     facts = loads(site_text()).facts
-    both = sorted([*seated(1, 0), *seated(2, 1000)], key=lambda row: row[0])
-    assert [(breach.rule, breach.who) for breach in audit(rows(*both), facts)] == [("seats", "s2")]
-    assert audit(rows(*seated(1, 0), *seated(2, 3000)), facts) == []
+    overlapping = sorted([*seated_session(1, 0), *seated_session(2, 1000)], key=lambda row: row[0])
+    assert [(breach.rule, breach.who) for breach in audit(rows(*overlapping), facts)] == [("seats", "s2")]
+    assert audit(rows(*seated_session(1, 0), *seated_session(2, 3000)), facts) == []
     assert [breach.rule for breach in audit(rows((5, "stolen", {"sess": "v1"})), facts)] == ["seats"]
