--- a/ponddoor/front/process.py
+++ b/ponddoor/front/process.py
@@ -225,8 +225,8 @@
         Returns False and changes nothing if the file has problems, or if a version of the shared
         configuration is in force, because then that version sets the limits."""
         if self.terms.version:
-            problem = f"version {self.terms.version} of the shared configuration is in force; file ignored"
-            log.warning("reload-refused", problems=[problem])
+            refusal = f"version {self.terms.version} of the shared configuration is in force; file ignored"
+            log.warning("reload-refused", problems=[refusal])
             return False
         try:
             loaded = load(path)
--- a/tests/front/conftest.py
+++ b/tests/front/conftest.py
@@ -1,4 +1,4 @@
-"""Helpers of the front's tests: an engine under a scenario, and a small world on loopback in one process."""
+"""Helpers for the front's tests: an engine driven by a scenario, and a fleet on loopback in one process."""
 
 import asyncio
 import contextlib
@@ -54,7 +54,7 @@
     "seats": "",
     "mode": "push",
 }
-WORDS = {
+SETUP_RESULTS = {
     "full": ev.Result.FULL,
     "error": ev.Result.ERROR,
     "reset": ev.Result.RESET,
@@ -63,17 +63,21 @@
 
 
 def site_text(fronts: int = 1, list_port: int = 0, ports: list[int] | None = None, **parts: Any) -> str:
-    held = iter(ports or [0] * 3 * fronts)
-    made = " ".join(
-        f'(front {me} (zone north) (viewers "127.0.0.1:{next(held)}") (words "127.0.0.1:{next(held)}") '
-        f'(metrics "127.0.0.1:{next(held)}"))'
+    port = iter(ports or [0] * 3 * fronts)
+    front_texts = " ".join(
+        f'(front {me} (zone north) (viewers "127.0.0.1:{next(port)}") (words "127.0.0.1:{next(port)}") '
+        f'(metrics "127.0.0.1:{next(port)}"))'
         for me in range(fronts)
     )
-    return SITE.format(**{**DEFAULTS, **parts}, list=list_port, fronts=made)
+    return SITE.format(**{**DEFAULTS, **parts}, list=list_port, fronts=front_texts)
 
 
 class EnginePlayer:
-    """One engine under a scenario: `given PART=VALUE`, `at 20s WHAT ...; expect [no|just N] EFFECT ...`."""
+    """Runs a scenario on one engine. Its steps, separated by line ends or semicolons, are:
+
+    - `given PART=VALUE ...` sets a part of the site, a server or a limit,
+    - `at 20s EVENT ...` advances the time and passes an event to the engine,
+    - `expect [no|just N] EFFECT ...` checks the effects since the last `at`."""
 
     def __init__(self) -> None:
         self.parts: dict[str, Any] = {}
@@ -86,16 +90,16 @@
             for step in filter(None, (part.split() for part in line.split("#")[0].split(";"))):
                 try:
                     getattr(self, step[0])(*step[1:])
-                except AssertionError as problem:
-                    raise AssertionError(f"line {number}: {line}: {problem}") from None
+                except AssertionError as error:
+                    raise AssertionError(f"line {number}: {line}: {error}") from None
 
     def given(self, *words: str) -> None:
         for name, _, value in (text.partition("=") for text in words):
             if name == "server":
                 self.servers.append(int(value))
             elif name == "limit":
-                what, _, amount = value.partition(":")
-                self.parts["limits"] = self.parts.get("limits", "") + f" ({what} {amount})"
+                limit, _, amount = value.partition(":")
+                self.parts["limits"] = self.parts.get("limits", "") + f" ({limit} {amount})"
             else:
                 self.parts[name] = value.replace("_", " ")
 
@@ -107,10 +111,10 @@
         rows = tuple(
             ev.ServerRow(n, 0, 0, i % 3, ev.ServerState.READY, 2.0, 0) for i, n in enumerate(self.servers)
         )
-        self.take(self.engine.server_news(0, ev.NewsScope.CACHED, rows))
+        self.record_effects(self.engine.server_news(0, ev.NewsScope.CACHED, rows))
         return self.engine
 
-    def take(self, effects: list[Effect]) -> None:
+    def record_effects(self, effects: list[Effect]) -> None:
         for effect in effects:
             match effect:
                 case fx.SendSetup(sess, attempt, server):
@@ -119,8 +123,8 @@
                     self.seen.append(f"teardown {sess} {attempt} {server}")
                 case fx.Reply(sess, answer):
                     self.seen.append(f"reply {sess} {answer.kind} {answer.reason}".strip())
-                case fx.Push(sess, what, value):
-                    self.seen.append(f"push {sess} {what} {value}")
+                case fx.Push(sess, event, value):
+                    self.seen.append(f"push {sess} {event} {value}")
                 case fx.SendRung(sess, attempt, _, rung):
                     self.seen.append(f"rung {sess} {attempt} {rung}")
                 case fx.WriteLog(level, event):
@@ -128,55 +132,59 @@
                 case _:
                     self.seen.append(type(effect).__name__.lower())
 
-    def at(self, moment: str, what: str = "", *words: str) -> None:
+    def at(self, moment: str, event: str = "", *words: str) -> None:
         engine = self.engine or self.begin()
         self.seen = []
-        until = round(float(moment.rstrip("s")) * 1_000_000)
-        while (due := engine.next_due) is not None and due <= until:
+        until_us = round(float(moment.rstrip("s")) * 1_000_000)
+        while (due := engine.next_due) is not None and due <= until_us:
             self.now = max(self.now, due)
-            self.take(engine.run_due_timers(self.now))
-        self.now = until
-        plain = [word for word in words if "=" not in word]
+            self.record_effects(engine.run_due_timers(self.now))
+        self.now = until_us
+        arguments = [word for word in words if "=" not in word]
         options = dict(word.split("=") for word in words if "=" in word)
-        if what:
-            self.take(self.happen(engine, what, plain, options))
-
-    def happen(self, engine: Engine, what: str, plain: list[str], options: dict[str, str]) -> list[Effect]:
-        name, numbers = plain[0], [int(text) for text in plain[1:] if text.isdigit()]
-        if what == "ask":
-            ask = ViewerRequest(options.get("title", "t"), 0, 0, 0, 3, 2, int(options.get("wait", 2_000_000)))
+        if event:
+            self.record_effects(self.handle_event(engine, event, arguments, options))
+
+    def handle_event(
+        self, engine: Engine, event: str, arguments: list[str], options: dict[str, str]
+    ) -> list[Effect]:
+        name, numbers = arguments[0], [int(text) for text in arguments[1:] if text.isdigit()]
+        if event == "ask":
+            viewer_request = ViewerRequest(
+                options.get("title", "t"), 0, 0, 0, 3, 2, int(options.get("wait", 2_000_000))
+            )
             try:
-                held, effects = engine.request(self.now, name, ask, options.get("key"))
+                record, effects = engine.request(self.now, name, viewer_request, options.get("key"))
             except RepeatError:
                 self.seen.append("otherwise")
                 return []
-            self.seen.append(f"held {held.sess}" if held else "held nobody")
+            self.seen.append(f"held {record.sess}" if record else "held nobody")
             return effects
-        if what == "left":
+        if event == "left":
             return engine.viewer_left(self.now, name)
-        if what == "gone":
+        if event == "gone":
             row = ev.ServerRow(int(name), 0, 0, 0, ev.ServerState.DRAINING, 2.0, 0)
             return engine.server_news(self.now, ev.NewsScope.CHANGES, (row,))
-        if what == "lost":
+        if event == "lost":
             return engine.server_lost(self.now, int(name))
-        if what == "ended":
-            return engine.stream_ended(self.now, name, numbers[0], plain[2])
-        if what == "drain":
+        if event == "ended":
+            return engine.stream_ended(self.now, name, numbers[0], arguments[2])
+        if event == "drain":
             engine.gate.draining = True
             return []
-        if what == "stop":
+        if event == "stop":
             return engine.stop(self.now)
-        if what == "late":
+        if event == "late":
             engine.gate.lag.due = self.now - int(name)
             return []
-        result = None if what == "started" else WORDS[what]
+        result = None if event == "started" else SETUP_RESULTS[event]
         return engine.setup_answered(self.now, name, numbers[0], numbers[1], result, {}, {})
 
     def expect(self, *words: str) -> None:
         wanted = " ".join(words[{"no": 1, "just": 2}.get(words[0], 0) :])
         seen = [line for line in self.seen if f"{line} ".startswith(f"{wanted} ")]
-        just = len(seen) == int(words[1]) if words[0] == "just" else bool(seen) != (words[0] == "no")
-        assert just, self.seen
+        satisfied = len(seen) == int(words[1]) if words[0] == "just" else bool(seen) != (words[0] == "no")
+        assert satisfied, self.seen
 
 
 @pytest.fixture
@@ -185,13 +193,13 @@
 
 
 class World:
-    """List, media servers and fronts in one process, on loopback, with records kept in memory."""
+    """A server list, media servers and fronts in one process, on loopback, with records kept in memory."""
 
     def __init__(
         self, fronts: int = 1, servers: int = 3, deciding: Any = Front, kept: Path | None = None, **parts: Any
     ) -> None:
         parts = {"target": "1s", **parts}
-        if "loop-lag" not in parts.get("limits", ""):  # all share one loop, on a machine that may be busy
+        if "loop-lag" not in parts.get("limits", ""):  # all share one event loop, and the machine may be busy
             parts["limits"] = parts.get("limits", "") + " (loop-lag 5s)"
         ports = free_ports(3 * fronts + 1)
         self.list_port, self.front_ports = ports[0], ports[1::3]
@@ -219,9 +227,9 @@
 
     async def front(self, me: int, site: Site | None = None) -> FrontProcess:
         kept = self.kept.with_name(f"{me}-{self.kept.name}") if self.kept is not None else None
-        made = FrontProcess(site or self.site, me, kept, seed=me + 1, make_decisions=self.deciding)
-        await made.start()
-        return made
+        front = FrontProcess(site or self.site, me, kept, seed=me + 1, make_decisions=self.deciding)
+        await front.start()
+        return front
 
     def ready(self, front: FrontProcess) -> bool:
         links = front.servers.links.values()
@@ -235,38 +243,38 @@
         await self.listing.close()
 
     async def until(self, done: Callable[[], Any], within: float = 8.0) -> None:
-        """Wait for what is expected to come about; the test fails where it does not."""
+        """Waits for a condition. Raises TimeoutError, which fails the test, after `within` seconds."""
         async with asyncio.timeout(within):
             while not done():
                 await asyncio.sleep(0.005)
 
     async def ask(self, me: int = 0, key: str | None = None, timeout: float = 5.0, **body: Any) -> Answer:
-        """One viewer's request, recorded as a player records it."""
+        """Sends one viewer's request and records it as a player does."""
         name = f"v{next(self.names)}"
         wait = self.site.facts.groups[0].setup_timeout
         self.recorder.note("ask", ask=name, front=me, wait_us=wait, group=0)
         pool = Pool("127.0.0.1", self.front_ports[me], 10, 1.0)
         headers = (("Idempotency-Key", key),) if key else ()
         try:
-            got = await pool.request(
+            answer = await pool.request(
                 "POST", "/sessions", {"title": "t", "group": "clips", **body}, timeout, headers
             )
-        except (BrokenError, LateError, NotSentError) as problem:
-            self.recorder.note("no-answer", ask=name, front=me, why=type(problem).__name__)
+        except (BrokenError, LateError, NotSentError) as error:
+            self.recorder.note("no-answer", ask=name, front=me, why=type(error).__name__)
             raise
         finally:
             pool.close()
-        state = got.json()
+        state = answer.json()
         self.recorder.note(
             "answer",
             ask=name,
             front=me,
-            status=got.status,
+            status=answer.status,
             state=state.get("state", ""),
             sess=state.get("session", ""),
             unasked=0,
         )
-        return got
+        return answer
 
     async def call(self, method: str, path: str, me: int = 0, body: Any = None) -> Answer:
         pool = Pool("127.0.0.1", self.front_ports[me], 10, 1.0)
@@ -279,14 +287,15 @@
         return [key for media in self.media for key in media.streams]
 
     def seen(self, what: str, **fields: Any) -> list[dict[str, Any]]:
+        """The recorded rows of a kind whose fields have the given values."""
         return [
             row
             for row in self.recorder.rows
             if row["what"] == what and all(row.get(name) == value for name, value in fields.items())
         ]
 
-    def breaches(self, slack: int = 60_000) -> list[Breach]:
-        return audit(self.recorder.rows, self.site.facts, slack)
+    def breaches(self, slack_us: int = 60_000) -> list[Breach]:
+        return audit(self.recorder.rows, self.site.facts, slack_us)
 
 
 Test = Callable[[World], Coroutine[Any, Any, None]]
@@ -294,7 +303,7 @@
 
 @pytest.fixture
 def in_world() -> Callable[..., None]:
-    """Runs a coroutine in a world of its own; `audited` asks that no rule was broken there."""
+    """Runs a test coroutine in a new World. With `audited` the audit must find no broken rule."""
 
     def run(test: Test, audited: bool = True, **parts: Any) -> None:
         async def live() -> None:
