--- a/ponddoor/front/follower.py
+++ b/ponddoor/front/follower.py
@@ -1,14 +1,19 @@
-"""A front that follows the committed configuration, free of I/O: what came in, what is to be done out.
-
-It watches one instance of those that agree, takes each version's steps onto what it holds, and puts a version
-in force when it is whole, checked, usable here, and kept on disk. Moments in microseconds go in; chance is
-its own. Docs: docs/notes/following.md.
-
-What bounds it. Never back: a number at or under the one in force is never taken, nor one under the floor, the
-newest number that ever was in force here, and that is durable before a version is in force. Whole or not at
-all: a version follows the one held, finds each item as it says, and has the digest it says, or nothing of it
-is taken and the whole state is asked for. What can't be used leaves the last good version in force, and the
-next is looked at whole. Of what comes, lines, texts and tables have bounds; what is malformed is counted."""
+"""The core of a front that follows the shared configuration, free of I/O: events go in, effects come out.
+
+The follower watches one configuration instance, applies the steps of each version to the state that it holds,
+and puts a version in force once the state is complete, its digest matches, its site passes the checks, this
+front can use it, and it is on disk. Callers pass the time in microseconds; random numbers come from a
+generator of the follower's own. Docs: docs/notes/following.md.
+
+Invariants:
+- Versions never go back. A version is put in force only if its number is above the one in force and not below
+  the floor, the newest number that was ever in force here. The floor is durable before a version is in force.
+- A version is applied completely or not at all. It must be the successor of the one held, each step must find
+  the item text that it names, and the result must have the digest stated. Otherwise nothing of it is applied
+  and the watch is reopened or the full state requested.
+- A version that can't be used leaves the last good version in force; the next version is evaluated as a
+  whole.
+- Lines, texts and tables are bounded in size. Malformed input is counted."""
 
 from collections import deque
 from collections.abc import Callable
@@ -36,26 +41,24 @@
 
 SECOND = 1_000_000
 MAX_LINE_BYTES = MOST_BYTES  # of one line of the watch
-MAX_STORED_BYTES = 3 * MOST_BYTES  # of what is read back from disk: two states and what they are written in
-VERSION_LIMIT = 2**53
-MAX_REASON_CHARS = 200  # characters of a reason
-MAX_DIGEST_CHARS = 40  # characters of a digest
-MAX_BURST_STATES = 8  # states of a burst that are at hand, should the newest be one that can't be used
-OUTAGE_RETRY_PERIOD_US = (
-    4 * SECOND
-)  # the period of tries in an outage: two of them fit into the 9 s that a return may take
-RETRY_JITTER_US = SECOND // 10  # to the next instance, where the next try is not the next period's
-CONNECT_TIMEOUT_US = 400_000  # how long a connection may take to come up: the shell's bound
-MEAN_SEARCH_INTERVAL_US = 30 * SECOND  # on average between two looks elsewhere while all instances are apart
-FULL_STATE_ABSENCE_US = 60 * SECOND  # an absence after which the whole state is asked for, not each step
-MISSING_LINES_TIMEOUT_US = SECOND // 2  # between two beats that tell of a version, and it does not come
+MAX_STORED_BYTES = 3 * MOST_BYTES  # the stored file holds up to two states and their encoding
+VERSION_LIMIT = 2**53  # version numbers stay below it
+MAX_REASON_CHARS = 200  # of a reason why a version can't be used
+MAX_DIGEST_CHARS = 40
+MAX_BURST_STATES = 8  # earlier states of a burst to fall back to when the newest can't be used
+OUTAGE_RETRY_PERIOD_US = 4 * SECOND  # two periods fit into the 9 s within which a front must be back
+RETRY_JITTER_US = SECOND // 10  # of an immediate retry at another instance
+CONNECT_TIMEOUT_US = 400_000  # applied by the shell
+MEAN_SEARCH_INTERVAL_US = 30 * SECOND  # between two tries of another instance while none has a leader
+FULL_STATE_ABSENCE_US = 60 * SECOND  # after a longer absence the full state is requested, not each step
+MISSING_LINES_TIMEOUT_US = SECOND // 2  # from the first heartbeat that names a version that has not arrived
 WRITE_RETRY_INTERVAL_US = 5 * SECOND  # after a failed write
 STORED_FORMAT = 1
 
 
 @dataclass(frozen=True, slots=True)
 class Watch:
-    """Open the watch for versions after one; an older watch is closed."""
+    """Open the watch for versions after `after`; closes the previous connection."""
 
     instance: int
     after: int
@@ -63,19 +66,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Fetch:
-    """Ask for the whole state; a watch is closed."""
+    """Request the full state; closes the previous connection."""
 
     instance: int
 
 
 @dataclass(frozen=True, slots=True)
 class Disconnect:
-    """Close the watch, or what was asked."""
+    """Close the watch or abandon the request for the full state."""
 
 
 @dataclass(frozen=True, slots=True)
 class Persist:
-    """Make durable, whole or not at all; `kept` is called back with the number of this writing."""
+    """Write `data` to disk atomically, then call `write_finished` with the number of this write."""
 
     number: int
     data: bytes
@@ -83,7 +86,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PutInForce:
-    """Put a version in force now, between two turns of the engine; it can't fail."""
+    """Put a version in force now, between two calls of the engine; it can't fail."""
 
     number: int
     digest: str
@@ -92,7 +95,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendReport:
-    """A report to an instance; `told` is called back."""
+    """Send a report to an instance, then call `report_finished`."""
 
     instance: int
     report: Report
@@ -100,7 +103,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LogEvent:
-    """A line of the log."""
+    """Write a line to the log."""
 
     level: str
     event: str
@@ -111,6 +114,8 @@
 
 
 class _Step(msgspec.Struct, frozen=True):
+    """The change of one item: its text before and after, None where the item does not exist."""
+
     key: str
     before: str | None
     after: str | None
@@ -118,7 +123,9 @@
 
 
 class _Line(msgspec.Struct, frozen=True):
-    """A line of the watch: a version, or a beat."""
+    """A line of the watch: a version with its steps, or a heartbeat.
+
+    `beat` is the newest version of the instance, `apart` says that it knows no leader."""
 
     version: int = 0
     steps: list[_Step] = []
@@ -128,19 +135,24 @@
 
 
 class _Written(msgspec.Struct, frozen=True):
-    """A state on disk; an item is its key, text and place."""
+    """A state on disk. Each item is its key, text and place."""
 
     number: int
     items: list[tuple[str, str, int]]
 
 
 class _Body(msgspec.Struct, frozen=True):
+    """The state in force, and the newest verified state where it is a later one."""
+
     in_force: _Written
     newest: _Written | None = None
 
 
 class _Head(msgspec.Struct, frozen=True):
-    """`floor` and `life` stand here, under a checksum of their own, so that they outlive a spoilt body."""
+    """The first line of the stored file.
+
+    `floor` and `life` stand here under the checksum `own`, so that they survive a damaged body. `size` is the
+    body's length in bytes, `body` its checksum."""
 
     format: int
     floor: int
@@ -150,23 +162,24 @@
     own: str = ""
 
     def sum(self) -> str:
-        told = f"{self.format} {self.floor} {self.life} {self.size} {self.body}"
-        return xxhash.xxh3_64_hexdigest(told)
+        text = f"{self.format} {self.floor} {self.life} {self.size} {self.body}"
+        return xxhash.xxh3_64_hexdigest(text)
 
 
 class UnusableError(Exception):
-    """What came, or what was kept, can't be used."""
+    """A received or a stored state can't be used."""
 
 
 @dataclass(slots=True)
 class State:
-    """A whole state: its items and their parsed forms, by key. It is not changed once it is checked."""
+    """A full state: its items and their parsed forms, by key. It is not modified after its digest is
+    verified."""
 
     number: int = 0
     items: dict[str, Item] = field(default_factory=dict)
     forms: dict[str, Listing] = field(default_factory=dict)
     digest: str = ""
-    size: int = 0  # characters of all items
+    size: int = 0  # characters of all item texts
 
     def copy(self) -> "State":
         return State(self.number, dict(self.items), dict(self.forms), self.digest, self.size)
@@ -176,7 +189,7 @@
 
 
 class Phase(Enum):
-    """What goes on with the instance at hand."""
+    """State of the connection to the current instance."""
 
     AWAY = "away"
     WATCHING = "watching"
@@ -190,8 +203,13 @@
 
 @dataclass(slots=True)
 class Follower:
-    """One front. `me` counts from 0 below `fronts`; `instances` is how many there are to watch. `usable` says
-    why this front can't take a site in service; nothing: it can. Times in microseconds."""
+    """The follower of one front.
+
+    `me` is the front's number, from 0 below `fronts`; `instances` is the number of configuration instances.
+    `usable` returns the reasons reason this front can't take a site in service; an empty tuple means that it
+    can. `silence` is the time without a line after which an instance counts as lost, `report_every` the least
+    time between two reports, `settle` the delay from the first line of a burst to its evaluation. All times
+    are in microseconds."""
 
     me: int
     fronts: int
@@ -206,53 +224,54 @@
 
     version: int = 0  # in force; 0: none yet
     digest: str = ""
-    head: int = 0  # the newest version known
-    floor: int = 0  # the newest that ever was in force here
-    refused: tuple[int, str] = (0, "")
-    apart_since: int | None = None
+    head: int = 0  # the newest version that any instance has named
+    floor: int = 0  # the newest version that was ever in force here
+    refused: tuple[int, str] = (0, "")  # the newest version that can't be used here, and the reason
+    apart_since: int | None = None  # since when no instance with a leader has been reached
     counts: dict[str, int] = field(default_factory=lambda: dict.fromkeys(COUNTERS, 0))
 
     in_force: State = field(default_factory=State)
-    verified: State = field(default_factory=State)  # the newest whole one that was checked against its digest
-    unverified: State = field(default_factory=State)  # `known` with the steps that came since
-    burst: deque[State] = field(
-        default_factory=lambda: deque(maxlen=MAX_BURST_STATES)
-    )  # from `known` to `ahead`
+    verified: State = field(default_factory=State)  # the newest full state whose digest was checked
+    unverified: State = field(default_factory=State)  # `verified` with the steps received since
+    # The states from `verified` (exclusive) to `unverified`, oldest first
+    burst: deque[State] = field(default_factory=lambda: deque(maxlen=MAX_BURST_STATES))
 
     current_instance: int = 0
     phase: Phase = Phase.AWAY
     schedule: ReconnectSchedule = field(init=False)
-    unhealthy: set[int] = field(default_factory=set)  # lost, lagging or apart, since all was well
-    lagging: set[int] = field(default_factory=set)  # behind what is held here, in a row
-    behind_head: set[int] = field(default_factory=set)  # behind what another instance has told of, in a row
-    return_instance: int | None = None  # the instance that answers though it is apart
+    # Instances that were lost, lagging or without a leader since a leader was last known
+    unhealthy: set[int] = field(default_factory=set)
+    # Instances that were behind the state held here since a leader was last known
+    lagging: set[int] = field(default_factory=set)
+    behind_head: set[int] = field(default_factory=set)  # instances in a row that stayed behind `head`
+    return_instance: int | None = None  # an instance that answers but knows no leader
     next_try: int | None = None
-    switch_at: int | None = None
+    switch_at: int | None = None  # when to try another instance while this one knows no leader
     evaluate_at: int | None = None
     report_at: int | None = None
     apart_warning_at: int | None = None
-    last_activity_at: int = 0  # when the last came, or was asked for
+    last_activity_at: int = 0  # time of the last line or request
     last_usable_line_at: int | None = None
-    full_state_received: bool = False  # since the last beat
-    full_state_requested: bool = False  # in this visit, and no version came of the watch since
-    watch_reopened: bool = False  # likewise, the watch was opened anew
-    usable_line_received: bool = False  # something was heard in this visit
-    immediate_retries: int = 0
-    lines_missing_since: int | None = None  # when a beat first told of versions that did not come since
-    instance_behind_since: int | None = None
-    pending_write: tuple[int, State, Site | None] | None = (
-        None  # the writing under way, and what it lets in force
-    )
-    fallback: tuple[State, Site] | None = None  # at a start: what is taken where the writing fails
+    full_state_received: bool = False  # since the last heartbeat
+    full_state_requested: bool = False  # in this connection, with no version verified since
+    watch_reopened: bool = False  # in this connection, with no version received since
+    usable_line_received: bool = False  # in this connection
+    immediate_retries: int = 0  # in a row, each at another instance
+    lines_missing_since: int | None = None  # when a heartbeat first named a version that has not arrived
+    instance_behind_since: int | None = None  # when a heartbeat first was behind `head`
+    # The number of the write in progress, its state, and the site that it puts in force, if any
+    pending_write: tuple[int, State, Site | None] | None = None
+    fallback: tuple[State, Site] | None = None  # at the start: put in force if the write fails
     writes_started: int = 0
     report_in_flight: bool = False
     last_report_at: int | None = None
     in_force_since: int = 0
-    life: int = 0
+    life: int = 0  # Unix time of the start in microseconds; above that of every earlier start
     reports_made: int = 0
+    # Instance (-1: this front as a whole) and subject of each condition that was logged
     logged: set[tuple[int, str]] = field(default_factory=set)
-    _order: tuple[int, ...] = ()
-    _position: int = 0  # the place in it of the instance that was chosen last
+    _order: tuple[int, ...] = ()  # in which this front tries the instances
+    _position: int = 0  # in `_order`, of the instance chosen last
     _random: SeededRandom = field(init=False)
 
     def __post_init__(self) -> None:
@@ -263,63 +282,64 @@
         self._random.draw(2)
         first = self.me % self.instances
         others = [number for number in range(self.instances) if number != first]
-        # Guards against an instance that dies and sends all that watched it to the same other one
+        # Each front has its own order, so that the watchers of a failed instance spread over all others
         cut = (self.me // self.instances) % max(len(others), 1)
         self._order = (first, *others[cut:], *others[:cut])
         self.current_instance = first
 
-    # What happens
+    # Events
 
     def begin(self, now: int, wall: int, kept: bytes) -> list[Effect]:
-        """The start, with what was kept; `wall` is the Unix clock in us. The version in force is taken up at
-        once; a newer one that was kept and passes now is kept as the one in force first, and taken when that
-        is durable."""
+        """Start with the stored bytes `kept`; `wall` is the Unix time in microseconds.
+
+        The stored version in force is put in force at once. If a newer stored version is usable now, it is
+        first written as the one in force and takes effect when that write is durable."""
         self.life, self.next_try = wall, self.schedule.start(now)
         self.apart_warning_at = now + 2 * self.silence
         try:
-            force, newest = self._restore(kept)
+            in_force, newest = self._restore(kept)
         except UnusableError as problem:
             return [LogEvent("error", "config-kept-unusable", f"{problem}; floor {self.floor}")]
         if not newest.number:
             return []
         self.verified = self.unverified = newest
         self.head = newest.number
-        site, why = self._usable_site(force) if force.number else (None, "")
-        newer, why_not = self._usable_site(newest) if newest is not force else (None, "")
+        site, reason = self._usable_site(in_force) if in_force.number else (None, "")
+        newer, newest_reason = self._usable_site(newest) if newest is not in_force else (None, "")
         if newer is not None:
-            self.fallback = (force, site) if site is not None else None
+            self.fallback = (in_force, site) if site is not None else None
             return self._persist(newest, newer)
-        if newest is not force:
-            self.refused = (newest.number, why_not)
-        if not force.number:
+        if newest is not in_force:
+            self.refused = (newest.number, newest_reason)
+        if not in_force.number:
             return []
         if site is None:
-            self.refused = (newest.number, why_not or why)
-            return [LogEvent("error", "config-kept-refused", f"version {force.number}: {why}")]
-        return [self._put_in_force(now, force, site), *self._persist(force, None)]
+            self.refused = (newest.number, newest_reason or reason)
+            return [LogEvent("error", "config-kept-refused", f"version {in_force.number}: {reason}")]
+        return [self._put_in_force(now, in_force, site), *self._persist(in_force, None)]
 
     def receive_line(self, now: int, instance: int, data: bytes) -> list[Effect]:
-        """A line of the watch, without its end."""
+        """Process a line of the watch, given without its line end."""
         if not self._is_current(instance, Phase.WATCHING):
             self.counts["late"] += 1
             return []
         if len(data) > MAX_LINE_BYTES:
-            return self._reject_input(now, "oversize", f"a line of {len(data)} bytes")
+            return self._reject_input(now, "oversize", f"line of {len(data)} bytes, at most {MAX_LINE_BYTES}")
         try:
-            got = msgspec.json.decode(data, type=_Line)
+            line = msgspec.json.decode(data, type=_Line)
         except (msgspec.MsgspecError, RecursionError):
             return self._reject_input(now, "nonsense", f"{data[:60]!r}")
-        if not (0 < got.version < VERSION_LIMIT or 0 <= got.beat < VERSION_LIMIT):
+        if not (0 < line.version < VERSION_LIMIT or 0 <= line.beat < VERSION_LIMIT):
             return self._reject_input(now, "nonsense", f"{data[:60]!r}")
         self.last_activity_at = now
-        if got.version:
-            return self._receive_version(now, got)
-        return self._receive_heartbeat(now, got)
+        if line.version:
+            return self._receive_version(now, line)
+        return self._receive_heartbeat(now, line)
 
     def receive_full_state(
         self, now: int, instance: int, number: int, text: str, digest: str = ""
     ) -> list[Effect]:
-        """The whole state that was asked for, a site file."""
+        """Process the full state that was requested: the text of a site file."""
         if not self._is_current(instance, Phase.FETCHING):
             self.counts["late"] += 1
             return []
@@ -341,7 +361,9 @@
             self._first_for_instance("forked")
             return [
                 LogEvent(
-                    "error", "config-forked", f"instance {instance} has another version {number} than ours"
+                    "error",
+                    "config-forked",
+                    f"instance {instance} has a different version {number} than this front",
                 ),
                 *self._open_watch(now),
             ]
@@ -349,8 +371,9 @@
         return self._open_watch(now)
 
     def history_unavailable(self, now: int, instance: int, newest: int = -1) -> list[Effect]:
-        """The watch was answered with 410: the instance does not have the versions after ours. `newest` is
-        its number, where it tells it."""
+        """Process a 410 answer to the watch: the instance no longer has the versions after the one held here.
+
+        `newest` is the newest version of the instance; -1 if it did not name it."""
         if not self._is_current(instance, Phase.WATCHING):
             self.counts["late"] += 1
             return []
@@ -359,16 +382,16 @@
         return self._request_full_state(now)
 
     def connection_lost(
-        self, now: int, instance: int, how: Loss, gone: int = 0, stay_away: int = 0
+        self, now: int, instance: int, loss: Loss, gone: int = 0, stay_away: int = 0
     ) -> list[Effect]:
-        """The watch or what was asked has ended, or never came about."""
+        """Process the end or the failure of the watch or of the request for the full state."""
         if instance != self.current_instance or self.phase is Phase.AWAY:
             self.counts["late"] += 1
             return []
-        return self._switch_instance(now, how, gone, stay_away)
+        return self._switch_instance(now, loss, gone, stay_away)
 
     def write_finished(self, now: int, number: int, ok: bool) -> list[Effect]:
-        """A writing is durable, or failed."""
+        """Process the result of the write `number`: durable or failed."""
         if self.pending_write is None or self.pending_write[0] != number:
             self.counts["late"] += 1
             return []
@@ -386,7 +409,7 @@
         return [taken]
 
     def report_finished(self, now: int, ok: bool) -> list[Effect]:
-        """A report has come to the instance, or not."""
+        """Process the result of the last report: delivered or failed."""
         self.report_in_flight = False
         if not ok:
             self.counts["not-told"] += 1
@@ -394,34 +417,34 @@
         return []
 
     def run_due(self, now: int) -> list[Effect]:
-        """What is due by now."""
-        out: list[Effect] = []
+        """Do what is due by now."""
+        effects: list[Effect] = []
         if self.phase is Phase.AWAY and self.next_try is not None and now >= self.next_try:
-            out += self._connect(now)
+            effects += self._connect(now)
         elif self.phase is not Phase.AWAY and now >= self.last_activity_at + self.silence:
             self.counts["silent"] += 1
-            out += [Disconnect(), *self._switch_instance(now, Loss.SILENT, self.silence)]
+            effects += [Disconnect(), *self._switch_instance(now, Loss.SILENT, self.silence)]
         elif self.switch_at is not None and now >= self.switch_at:
             self.switch_at = None
             self._choose_next_instance()
-            out += self._connect(now)
+            effects += self._connect(now)
         if self.evaluate_at is not None and now >= self.evaluate_at:
             self.evaluate_at = None
-            out += self._evaluate_newest(now)
+            effects += self._evaluate_newest(now)
         if self.report_at is not None and now >= self.report_at:
-            out += self._send_due_report(now)
+            effects += self._send_due_report(now)
         if self.apart_warning_at is not None and now >= self.apart_warning_at:
             self.apart_warning_at = None
             if self._first_for_front("apart"):
-                held = f"version {self.version} stays in force"
-                out.append(
-                    LogEvent("warning", "config-apart", f"no instance that has heard of a leader; {held}")
+                in_force = f"version {self.version} stays in force"
+                effects.append(
+                    LogEvent("warning", "config-apart", f"no instance with a leader reached; {in_force}")
                 )
-        return out
+        return effects
 
     @property
     def next_due(self) -> int | None:
-        """When `due` is to be called next."""
+        """When `run_due` is to be called next."""
         moments = [self.evaluate_at, self.report_at, self.apart_warning_at]
         if self.phase is Phase.AWAY:
             moments.append(self.next_try)
@@ -429,10 +452,12 @@
             moments += [self.last_activity_at + self.silence, self.switch_at]
         return min((moment for moment in moments if moment is not None), default=None)
 
-    # Guards, each taken out by a mutant of the simulation (ponddoor/config/followers_mutants.py)
+    # Rules, each of which a mutant of the simulation disables (ponddoor/config/followers_mutants.py)
 
     def _newer_than_in_force(self, number: int) -> bool:
-        """Guards against an instance that lags, one that leads a minority, and one that lost its disk."""
+        """Whether a version may replace the one in force.
+
+        An older one comes from an instance that lags, that leads a minority, or that lost its disk."""
         return number > self.version and number >= self.floor
 
     def _behind_own_state(self, number: int) -> bool:
@@ -442,55 +467,60 @@
         return number > self.verified.number
 
     def _is_next_version(self, line: _Line) -> bool:
-        """Guards against a version that is left out."""
+        """Whether a line is the successor of the state held; otherwise a version was skipped."""
         return line.version == self.unverified.number + 1
 
     def _matches_held_items(self, line: _Line) -> bool:
-        """Guards against steps that lead elsewhere from what is held."""
+        """Whether each step finds the item text that it replaces; otherwise the states have diverged."""
         for step in line.steps:
             held = self.unverified.items.get(step.key)
             if (None if held is None else held.text) != step.before:
                 return False
         return True
 
-    def _digest_matches(self, digest: str, told: str) -> bool:
-        """Guards against what was changed on the way, and against a state that came to be otherwise."""
-        return not told or digest == told
+    def _digest_matches(self, digest: str, expected: str) -> bool:
+        """Whether the digest is the stated one, if one is stated.
+
+        Detects corruption in transit and a state that was built from other steps."""
+        return not expected or digest == expected
 
     def _rejection_reasons(self, site: Site) -> tuple[str, ...]:
-        """Why a site that passed the file's checks can't be taken here."""
+        """Why this front can't use a site that passed the checks of a site file."""
         return self.usable(site)
 
     def _lines_overdue(self, now: int) -> bool:
-        """Guards against lines that were lost while the connection stands: beats alone would do for ever."""
+        """Whether lines were lost on a live connection, where heartbeats alone would keep the watch open for
+        ever."""
         return (
             self.lines_missing_since is not None
             and now - self.lines_missing_since >= MISSING_LINES_TIMEOUT_US
         )
 
     def _needs_full_state(self, now: int) -> bool:
-        """Guards against a long absence that is made up for step by step, and a whole state that is asked for
-        twice in one."""
-        long = (
+        """Whether to request the full state on connecting: after a long absence, which would take many steps,
+        and unless it was already received since the last heartbeat."""
+        long_absent = (
             self.last_usable_line_at is None
             or now - self.last_usable_line_at > FULL_STATE_ABSENCE_US
             or not self.verified.number
         )
-        return long and not self.full_state_received
+        return long_absent and not self.full_state_received
 
     def _earlier_in_burst(self) -> list[State]:
-        """The states of a burst before its last. Guards against a bad version that hides a good one which
-        came just before it."""
-        return [one for one in self.burst if one is not self.verified]
+        """The states of a burst before its last, for a good version that is followed at once by a bad one."""
+        return [state for state in self.burst if state is not self.verified]
 
     def _persists_first(self) -> bool:
-        """Guards against a front that dies with a version in force which it then knows nothing of."""
+        """Whether a version is made durable before it is in force.
+
+        Otherwise a front that crashes in between would restart without the version that it had in force."""
         return True
 
     # Lines
 
     def _is_current(self, instance: int, phase: Phase) -> bool:
-        """Guards against two instances whose lines cross where the front turns from one to the other."""
+        """Whether input belongs to the current connection; after a switch, input of the previous instance may
+        still arrive."""
         return instance == self.current_instance and self.phase is phase
 
     def _receive_version(self, now: int, line: _Line) -> list[Effect]:
@@ -512,12 +542,12 @@
         self.burst.append(self.unverified)
         self.watch_reopened, self.lines_missing_since = False, None
         if self.evaluate_at is None:
-            # Guards against a burst that is checked a hundred times, and a steady stream that never is
+            # Set by the first line only: a burst is evaluated once, a steady stream can't defer it for ever
             self.evaluate_at = now + self.settle
         return self._note_usable_line(now)
 
     def _with_steps(self, line: _Line) -> State:
-        """`ahead` with the steps of a line. Raises UnusableError, and has changed nothing then."""
+        """A copy of `unverified` with the steps of a line applied. Raises UnusableError."""
         forms: dict[str, Listing] = {}
         for step in line.steps:
             if step.after is not None:
@@ -527,7 +557,7 @@
                     raise UnusableError(str(problem)[:MAX_REASON_CHARS]) from None
         state = self.unverified.copy()
         place = max((item.place for item in state.items.values()), default=0)
-        # Places are relative here: what is new comes last, in the order of the places told
+        # Only the order of places counts: new items come last, in the order of the places in the line
         for step in sorted(line.steps, key=lambda step: step.place):
             held = state.items.pop(step.key, None) if step.after is None else state.items.get(step.key)
             state.size -= len(held.text) if held is not None else 0
@@ -541,20 +571,20 @@
             state.size += len(text)
         state.number, state.digest = line.version, line.digest[:MAX_DIGEST_CHARS]
         if len(state.items) > MOST_KEYS or state.size > MOST_BYTES:
-            raise UnusableError(f"{len(state.items)} keys of {state.size} characters")
+            raise UnusableError(f"state too large: {len(state.items)} keys, {state.size} characters")
         return state
 
     def _parse_state(self, number: int, text: str, digest: str) -> State:
-        """The state that a site file tells. Raises UnusableError."""
+        """The state that a site file describes. Raises UnusableError."""
         try:
             forms = self._parse_items(text)
         except (MalformedError, SettingsError, RecursionError) as problem:
             raise UnusableError(str(problem)[:MAX_REASON_CHARS]) from None
-        items = {key: Item(str(form), number, at) for at, (key, form) in enumerate(forms.items(), 1)}
+        items = {key: Item(str(form), number, place) for place, (key, form) in enumerate(forms.items(), 1)}
         state = State(number, items, forms, "", sum(len(item.text) for item in items.values()))
         state.digest = digest_of(assembled(items, forms))
         if not self._digest_matches(state.digest, digest):
-            raise UnusableError(f"version {number} has digest {state.digest}, {digest[:40]} was told")
+            raise UnusableError(f"version {number} has digest {state.digest}, expected {digest[:40]}")
         return state
 
     def _parse_items(self, text: str) -> dict[str, Listing]:
@@ -562,7 +592,7 @@
         texts = taken_apart(parse(text, "<whole>"))
         if len(texts) > MOST_KEYS:
             raise UnusableError(f"{len(texts)} keys, {MOST_KEYS} at most")
-        return {key: self._parse_item(key, one) for key, one in texts.items()}
+        return {key: self._parse_item(key, item_text) for key, item_text in texts.items()}
 
     def _parse_item(self, key: str, text: str) -> Listing:
         """Raises MalformedError."""
@@ -587,17 +617,17 @@
                 if len(self.behind_head) < self.instances:
                     self.counts["lagging"] += 1
                     return [Disconnect(), *self._switch_instance(now, Loss.BROKEN)]
-                # Guards against a number that one told and nobody has: all others would be left for ever
+                # Otherwise a version that one instance named and no other has would cost every connection
                 self.head = max(self.verified.number, line.beat)
         else:
             self.lines_missing_since = self.instance_behind_since = None
             self.behind_head.clear()
         self.full_state_received = False
-        out = self._note_usable_line(now)
-        return out + (self._leader_unknown(now) if line.apart else self._leader_known(now))
+        effects = self._note_usable_line(now)
+        return effects + (self._leader_unknown(now) if line.apart else self._leader_known(now))
 
     def _note_usable_line(self, now: int) -> list[Effect]:
-        """Something usable came from the watch."""
+        """Note that the watch delivered a usable line."""
         self.schedule.heard(now)
         self.last_usable_line_at, self.immediate_retries = now, 0
         if not self.usable_line_received:
@@ -606,7 +636,7 @@
         return []
 
     def _leader_known(self, now: int) -> list[Effect]:
-        """The instance is with a leader."""
+        """The current instance knows a leader."""
         self.unhealthy.clear()
         self.lagging.clear()
         self.logged.discard((-1, "ahead"))
@@ -618,10 +648,10 @@
         if (-1, "apart") not in self.logged:
             return []
         self.logged.discard((-1, "apart"))
-        return [LogEvent("info", "config-together", f"instance {self.current_instance} is with a leader")]
+        return [LogEvent("info", "config-together", f"instance {self.current_instance} knows a leader")]
 
     def _leader_unknown(self, now: int) -> list[Effect]:
-        """The instance has heard of no leader: another is looked for, once around and then seldom."""
+        """The current instance knows no leader: try each other instance once, then one now and then."""
         self.unhealthy.add(self.current_instance)
         self.return_instance = self.current_instance
         if self.apart_since is None or self.switch_at is None:
@@ -630,10 +660,10 @@
             self._note_apart_since(now)
             self._schedule_report(now)
         if self.switch_at is None and self.instances > 1:
-            around = len(self.unhealthy) >= self.instances
+            all_tried = len(self.unhealthy) >= self.instances
             self.switch_at = (
                 now + MEAN_SEARCH_INTERVAL_US // 2 + self._random.draw(MEAN_SEARCH_INTERVAL_US)
-                if around
+                if all_tried
                 else self.schedule.moved(now)
             )
         return []
@@ -646,7 +676,7 @@
     # Instances
 
     def _connect(self, now: int) -> list[Effect]:
-        """Come to the instance at hand: for what is missing, or for all of it after a long absence."""
+        """Connect to the current instance: to the watch, or for the full state after a long absence."""
         self.usable_line_received = self.full_state_requested = self.watch_reopened = False
         self.lines_missing_since = self.instance_behind_since = self.next_try = None
         if self._needs_full_state(now):
@@ -659,14 +689,15 @@
         return [Watch(self.current_instance, self.unverified.number)]
 
     def _reopen_watch(self, now: int) -> list[Effect]:
-        """Ask for what is missing; twice in a row the instance does not have it."""
+        """Reopen the watch to get missing lines; if they are missing again, leave the instance."""
         if self.watch_reopened:
             return [Disconnect(), *self._switch_instance(now, Loss.BROKEN)]
         self.watch_reopened, self.lines_missing_since = True, None
         return self._open_watch(now)
 
     def _request_full_state(self, now: int) -> list[Effect]:
-        """Ask for the whole state; an instance whose steps do not lead on from it is left."""
+        """Request the full state, or leave the instance if the steps after its last one did not apply
+        either."""
         self._drop_unverified()
         if self.full_state_requested:
             return [Disconnect(), *self._switch_instance(now, Loss.BROKEN)]
@@ -675,90 +706,98 @@
         return [Fetch(self.current_instance)]
 
     def _reject_lagging_instance(self, now: int, number: int) -> list[Effect]:
-        """The instance is behind this front. Where all are, they have lost what they agreed on: we stay."""
+        """Leave an instance that is behind this front.
+
+        If all instances are, they have lost committed versions; this front keeps its own."""
         self.counts["lagging"] += 1
         self.lagging.add(self.current_instance)
-        out: list[Effect] = []
+        effects: list[Effect] = []
         if len(self.lagging) == self.instances and self._first_for_front("ahead"):
-            here = (
+            versions = (
                 f"version {max(self.verified.number, self.floor)} here, "
                 f"{number} at instance {self.current_instance}"
             )
-            out.append(LogEvent("error", "config-ahead-of-all", here))
+            effects.append(LogEvent("error", "config-ahead-of-all", versions))
         if not self.report_in_flight and (
             self.last_report_at is None or now >= self.last_report_at + self.report_every
         ):
-            out.append(self._next_report(now))
-        return out + self._switch_instance(now, Loss.BROKEN)
+            effects.append(self._next_report(now))
+        return effects + self._switch_instance(now, Loss.BROKEN)
 
-    def _switch_instance(self, now: int, how: Loss, gone: int = 0, stay_away: int = 0) -> list[Effect]:
-        """Leave the instance at hand for the next one, when it is this front's turn."""
+    def _switch_instance(self, now: int, loss: Loss, gone: int = 0, stay_away: int = 0) -> list[Effect]:
+        """Leave the current instance and schedule the connection to the next one."""
         self.phase, self.switch_at = Phase.AWAY, None
         self.unhealthy.add(self.current_instance)
         self._note_apart_since(now - gone)
         if self.return_instance is not None and self.current_instance != self.return_instance:
-            # Where all are apart one stays: it is looked elsewhere for no longer than one try takes
+            # No instance knows a leader: after one failed try elsewhere, return to the one that answers
             self.current_instance = self.return_instance
             self.next_try = now + MIN_RETRY_INTERVAL_US + self._random.draw(RETRY_JITTER_US)
             return []
         self.return_instance = None
         self._choose_next_instance()
         if self.schedule.outage_since is not None and self.immediate_retries < self._max_immediate_retries(
-            how
+            loss
         ):
             self.immediate_retries += 1
             self.next_try = now + stay_away + MIN_RETRY_INTERVAL_US + self._random.draw(RETRY_JITTER_US)
             return []
         self.immediate_retries = 0
-        self.next_try = self.schedule.lost(now, how, gone, stay_away)
+        self.next_try = self.schedule.lost(now, loss, gone, stay_away)
         return []
 
-    def _max_immediate_retries(self, how: Loss) -> int:
-        """To how many further instances one goes on at once. Where one refused, the way to it stands, and all
-        may be asked. One that does not answer may be a machine that is gone: one more is asked, so that a few
-        that are gone cost no period; more would bring back in one second a fleet that was cut off."""
-        return {Loss.REFUSED: self.instances - 1, Loss.LATE: 1}.get(how, 0)
+    def _max_immediate_retries(self, loss: Loss) -> int:
+        """The number of further instances to try at once after a loss.
+
+        After a refusal all others may be tried, as the network path works. After a time-out the machine may
+        be down, and one more is tried, so that a few failed machines cost no period. More tries would bring a
+        fleet that was cut off back within one second."""
+        return {Loss.REFUSED: self.instances - 1, Loss.LATE: 1}.get(loss, 0)
 
     def _choose_next_instance(self) -> None:
-        """The next instance in this front's own order, of which nothing bad is known where there is one."""
-        places = [(self._position + turn) % self.instances for turn in range(1, self.instances + 1)]
-        others = [place for place in places if self._order[place] != self.current_instance] or places
-        well = (place for place in others if self._order[place] not in self.unhealthy)
-        self._position = next(well, others[0])
+        """Choose the next instance in this front's order, a healthy one if there is any."""
+        positions = [(self._position + offset) % self.instances for offset in range(1, self.instances + 1)]
+        others = [
+            position for position in positions if self._order[position] != self.current_instance
+        ] or positions
+        healthy = (position for position in others if self._order[position] not in self.unhealthy)
+        self._position = next(healthy, others[0])
         self.current_instance = self._order[self._position]
 
-    def _reject_input(self, now: int, reason: str, what: str) -> list[Effect]:
-        """What can't be used is counted, said once of each instance, and the instance is left."""
+    def _reject_input(self, now: int, reason: str, detail: str) -> list[Effect]:
+        """Count unusable input, log it once per instance and reason, and leave the instance."""
         self.counts[reason] += 1
-        out: list[Effect] = [Disconnect()]
+        effects: list[Effect] = [Disconnect()]
         if self._first_for_instance(reason):
-            out.append(LogEvent("warning", f"config-{reason}", f"instance {self.current_instance}: {what}"))
+            effects.append(
+                LogEvent("warning", f"config-{reason}", f"instance {self.current_instance}: {detail}")
+            )
         self._drop_unverified()
-        return out + self._switch_instance(now, Loss.BROKEN)
+        return effects + self._switch_instance(now, Loss.BROKEN)
 
-    def _first_for_instance(self, what: str) -> bool:
-        """Whether it was not said of the instance at hand yet."""
-        new = (self.current_instance, what) not in self.logged
-        self.logged.add((self.current_instance, what))
+    def _first_for_instance(self, subject: str) -> bool:
+        """Whether a subject is logged for the first time for the current instance."""
+        new = (self.current_instance, subject) not in self.logged
+        self.logged.add((self.current_instance, subject))
         return new
 
-    def _first_for_front(self, what: str) -> bool:
-        """Whether it was not said of this front since it went by."""
-        new = (-1, what) not in self.logged
-        self.logged.add((-1, what))
+    def _first_for_front(self, subject: str) -> bool:
+        """Whether a subject is logged for the first time for this front since the condition last ended."""
+        new = (-1, subject) not in self.logged
+        self.logged.add((-1, subject))
         return new
 
     # Versions
 
     def _schedule_evaluation(self, now: int) -> None:
-        """Look at what came meanwhile, when the effects of now are carried out."""
+        """Schedule the evaluation of versions that arrived during a write, after the effects of this call."""
         if self.unverified.number > max(self.version, self.refused[0]) and self.evaluate_at is None:
             self.evaluate_at = now
 
     def _evaluate_newest(self, now: int) -> list[Effect]:
-        """The newest that is held: is it what was told, and can it be in force?"""
+        """Verify the newest state held, and write the newest usable one of the burst to put it in force."""
         if self.pending_write is not None:
-            return []  # `kept` looks again
+            return []  # `write_finished` schedules the next evaluation
         if self.unverified is not self.verified:
             if not self._verify_digest(self.unverified):
                 self.counts["differs"] += 1
@@ -769,28 +808,28 @@
         self.burst.clear()
         if not self._newer_than_in_force(state.number) or state.number == self.refused[0]:
             return []
-        site, why = self._usable_site(state)
-        out: list[Effect] = []
+        site, reason = self._usable_site(state)
+        effects: list[Effect] = []
         if site is None:
             self.counts["refused"] += 1
-            self.refused = (state.number, why)
+            self.refused = (state.number, reason)
             self._schedule_report(now)
-            out.append(LogEvent("warning", "config-refused", f"version {state.number}: {why}"))
-            for one in reversed(earlier):
+            effects.append(LogEvent("warning", "config-refused", f"version {state.number}: {reason}"))
+            for candidate in reversed(earlier):
                 if (
-                    self._newer_than_in_force(one.number)
-                    and self._verify_digest(one)
-                    and (site := self._usable_site(one)[0])
+                    self._newer_than_in_force(candidate.number)
+                    and self._verify_digest(candidate)
+                    and (site := self._usable_site(candidate)[0])
                 ):
-                    state = one
+                    state = candidate
                     break
         if site is not None and not self._persists_first():
-            out.append(self._put_in_force(now, state, site))
+            effects.append(self._put_in_force(now, state, site))
             site = None
-        return [*out, *self._persist(state, site)]
+        return [*effects, *self._persist(state, site)]
 
     def _verify_digest(self, state: State) -> bool:
-        """Whether a state that steps led to has the digest that was told; from then on it has its own."""
+        """Whether a state built from steps has the digest stated; replaces that by the computed one."""
         digest = digest_of(assembled(state.items, state.forms))
         same = self._digest_matches(digest, state.digest)
         state.digest = digest
@@ -801,18 +840,18 @@
         self.burst.clear()
 
     def _usable_site(self, state: State) -> tuple[Site | None, str]:
-        """The site of a state, or why it can't be in force here."""
+        """The site of a state, or the reason why it can't be in force here."""
         try:
             site = self._check_site(state)
         except SettingsError as problem:
             return None, str(problem.problems[0])[:MAX_REASON_CHARS]
         except RecursionError:
-            return None, "nested too deep"
+            return None, "forms nested too deeply"
         reasons = self._rejection_reasons(site)
         return (None, "; ".join(reasons)[:MAX_REASON_CHARS]) if reasons else (site, "")
 
     def _check_site(self, state: State) -> Site:
-        """By the file's own checks. Raises SettingsError."""
+        """Check a state as a site file is checked. Raises SettingsError."""
         return check([assembled(state.items, state.forms)], "<configuration>", self.folder)
 
     def _put_in_force(self, now: int, state: State, site: Site) -> PutInForce:
@@ -824,59 +863,65 @@
         self._schedule_report(now)
         return PutInForce(state.number, state.digest, site)
 
-    # What is kept
+    # Storage
 
     def _persist(self, state: State, site: Site | None) -> list[Effect]:
-        """Write down what is in force, or is to be when this is durable, and the newest where it differs."""
+        """Write the state in force and the newest verified one, if that is later.
+
+        With a `site`, `state` counts as in force and takes effect when the write is durable."""
         self.writes_started += 1
         self.pending_write = (self.writes_started, state, site)
-        force = state if site is not None else self.in_force
-        newest = self.verified.written() if self.verified.number > force.number else None
-        body = msgspec.msgpack.encode(_Body(force.written(), newest))
-        floor = max(force.number, self.floor)
+        in_force = state if site is not None else self.in_force
+        newest = self.verified.written() if self.verified.number > in_force.number else None
+        body = msgspec.msgpack.encode(_Body(in_force.written(), newest))
+        floor = max(in_force.number, self.floor)
         head = _Head(STORED_FORMAT, floor, self.life, len(body), xxhash.xxh3_64_hexdigest(body))
         head = msgspec.structs.replace(head, own=head.sum())
         return [Persist(self.writes_started, msgspec.json.encode(head) + b"\n" + body)]
 
     def _write_failed(self, now: int, state: State) -> list[Effect]:
         self.counts["not-kept"] += 1
-        out: list[Effect] = []
+        effects: list[Effect] = []
         if self._first_for_front("not-kept"):
-            out.append(LogEvent("error", "config-not-kept", f"version {state.number} could not be written"))
+            effects.append(
+                LogEvent("error", "config-not-kept", f"version {state.number} could not be written")
+            )
         if self.fallback is not None:
-            out.append(self._put_in_force(now, *self.fallback))
+            effects.append(self._put_in_force(now, *self.fallback))
             self.fallback = None
         self.evaluate_at = now + WRITE_RETRY_INTERVAL_US
-        return out
+        return effects
 
     def _restore(self, kept: bytes) -> tuple[State, State]:
-        """The state that was in force and the newest known; the floor is taken from what can be read. Raises
-        UnusableError where there is something and it can't be used."""
+        """The stored state in force and the newest stored state.
+
+        Sets the floor and the life if the head is readable. Raises UnusableError if there is stored data that
+        can't be used."""
         if not kept:
             return State(), State()
         if len(kept) > MAX_STORED_BYTES:
-            raise UnusableError(f"{len(kept)} bytes were kept, {MAX_STORED_BYTES} at most")
-        first, _, body = kept.partition(b"\n")
+            raise UnusableError(f"stored file of {len(kept)} bytes, at most {MAX_STORED_BYTES}")
+        head_line, _, body = kept.partition(b"\n")
         try:
-            head = msgspec.json.decode(first, type=_Head)
+            head = msgspec.json.decode(head_line, type=_Head)
         except msgspec.MsgspecError:
-            raise UnusableError("what was kept has no head") from None
+            raise UnusableError("stored file has no readable head") from None
         if head.own != head.sum():
-            raise UnusableError("what was kept has a damaged head")
-        # Guards against a wall clock that was set back: reports of this life would count as old ones
+            raise UnusableError("stored file has a damaged head")
+        # If the wall clock was set back, the reports of this life would otherwise count as outdated
         self.floor, self.life = head.floor, max(self.life, head.life + 1)
         if head.format != STORED_FORMAT:
-            raise UnusableError(f"what was kept is of format {head.format}, {STORED_FORMAT} is known")
+            raise UnusableError(f"stored file has format {head.format}, expected {STORED_FORMAT}")
         if len(body) < head.size:
-            raise UnusableError(f"what was kept is cut off: {len(body)} bytes of {head.size}")
+            raise UnusableError(f"stored file is truncated: {len(body)} of {head.size} bytes")
         if xxhash.xxh3_64_hexdigest(body) != head.body:
-            raise UnusableError("what was kept is damaged")
+            raise UnusableError("stored file has a damaged body")
         try:
-            got = msgspec.msgpack.decode(body, type=_Body)
-            force = self._decode_state(got.in_force)
-            return force, force if got.newest is None else self._decode_state(got.newest)
+            stored = msgspec.msgpack.decode(body, type=_Body)
+            in_force = self._decode_state(stored.in_force)
+            return in_force, in_force if stored.newest is None else self._decode_state(stored.newest)
         except (msgspec.MsgspecError, MalformedError, RecursionError) as problem:
-            raise UnusableError(f"what was kept can't be read: {str(problem)[:MAX_REASON_CHARS]}") from None
+            raise UnusableError(f"stored file can't be decoded: {str(problem)[:MAX_REASON_CHARS]}") from None
 
     def _decode_state(self, written: _Written) -> State:
         """Raises MalformedError."""
@@ -889,29 +934,30 @@
     # Reports
 
     def _schedule_report(self, now: int) -> None:
-        """A report at this front's place within a second, and not too soon after the last."""
+        """Schedule a report in this front's share of the next second, `report_every` after the last at the
+        earliest."""
         if self.report_at is None:
-            part = SECOND // max(self.fronts, 1)
-            place = part * self.me + self._random.draw(max(part, 1))
-            first = 0 if self.last_report_at is None else self.last_report_at + self.report_every
-            self.report_at = max(now + place, first)
+            slot = SECOND // max(self.fronts, 1)
+            delay = slot * self.me + self._random.draw(max(slot, 1))
+            earliest = 0 if self.last_report_at is None else self.last_report_at + self.report_every
+            self.report_at = max(now + delay, earliest)
 
     def _send_due_report(self, now: int) -> list[Effect]:
         if self.phase is Phase.AWAY or not self.usable_line_received:
-            self.report_at = None  # it is told when an instance is heard
+            self.report_at = None  # the first usable line schedules it anew
             return []
         if self.last_report_at is not None:
-            # One that is not answered is given up after another time between two
-            next_one = self.last_report_at + (2 if self.report_in_flight else 1) * self.report_every
-            if now < next_one:
-                self.report_at = next_one
+            # An unanswered report is given up after two report intervals
+            next_report_at = self.last_report_at + (2 if self.report_in_flight else 1) * self.report_every
+            if now < next_report_at:
+                self.report_at = next_report_at
                 return []
         self.report_at = None
         return [self._next_report(now)]
 
     def _next_report(self, now: int) -> SendReport:
         self.reports_made, self.report_in_flight, self.last_report_at = self.reports_made + 1, True, now
-        refused, why = self.refused
+        refused, reason = self.refused
         apart = 0 if self.apart_since is None else (now - self.apart_since) // 1000
         age = (now - self.in_force_since) // 1000 if self.version else 0
         report = Report(
@@ -923,7 +969,7 @@
             age,
             self.head,
             refused,
-            why,
+            reason,
             apart,
         )
         return SendReport(self.current_instance, report)
