--- a/ponddoor/front/following.py
+++ b/ponddoor/front/following.py
@@ -1,9 +1,7 @@
-"""The shell of a front that follows the committed configuration: what `front/follower.py` wants done, over
-TCP and on disk.
+"""The I/O shell of a front's follower: carries out the effects of `front/follower.py` over TCP and on disk.
 
-The core is called from one task alone, a call after the other: what comes waits in a bounded line. A call
-that may take long (a whole state read, a version checked) runs beside the loop; what it wants done is done on
-it."""
+One task makes all calls of the core, one after another, from a bounded queue. A call that may take long
+(reading a full state, checking a version) runs in a thread; its effects are carried out on the event loop."""
 
 import asyncio
 import contextlib
@@ -43,42 +41,47 @@
     TurnedAwayError,
 )
 
-ANSWER = 2.0  # s, for a report
-MOST_WHOLE = 2 * MOST_BYTES  # bytes of a whole state: of its characters some take two
-AHEAD = 200  # calls that wait for the core; a watch that brings more waits itself
-LONG_LINE = 20_000  # bytes of a line that is read beside the loop
-Call = Callable[[int], list[Effect]]  # into the core, at a moment
+REPORT_TIMEOUT_S = 2.0
+MAX_FULL_STATE_BYTES = 2 * MOST_BYTES  # some characters take two bytes
+MAX_QUEUED_CALLS = 200  # to the core; with a full queue the watch stops reading
+LONG_LINE_BYTES = 20_000  # longer lines are processed in a thread, not on the event loop
+Call = Callable[[int], list[Effect]]  # of the core, with the time in us
 log = structlog.get_logger("config")
 
 
 class Following:
-    """One front's shell. `take` puts a version in force: it is called on the loop, never inside a call of an
-    engine. `kept` is the file that a restart begins from; None: nothing is kept."""
+    """The I/O shell of one front's follower.
+
+    `put_in_force` puts a version in force; it is called on the event loop, never inside a call of an engine.
+    `state_file` is the file that a restart reads; with None nothing is stored."""
 
     def __init__(
         self,
         follower: Follower,
         instances: tuple[Address, ...],
-        take: Callable[[PutInForce], None],
-        kept: Path | None,
+        put_in_force: Callable[[PutInForce], None],
+        state_file: Path | None,
     ) -> None:
-        self.follower, self.instances, self._take, self._file = follower, instances, take, kept
-        self.counts: dict[str, int] = {}  # what the shell itself refused, by reason
-        self.refused: Callable[[int, str], None] | None = None  # told of each version that can't be used here
-        self._pending: list[Effect] | None = None
-        self._calls: asyncio.Queue[tuple[Call, bool]] = asyncio.Queue(AHEAD)
-        self._link: asyncio.Task[None] | None = None  # the watch, or a whole state that was asked for
-        self._turn = 0  # counts those: what an earlier one brought is nothing any more
-        self._beside: set[asyncio.Task[None]] = set()  # what is kept, and what is told
+        self.follower, self.instances = follower, instances
+        self._put_in_force, self._file = put_in_force, state_file
+        self.counts: dict[str, int] = {}  # of failures that the shell met, by reason
+        # Called with each version that can't be used here, and the reason
+        self.refused: Callable[[int, str], None] | None = None
+        self._startup_effects: list[Effect] | None = None
+        self._calls: asyncio.Queue[tuple[Call, bool]] = asyncio.Queue(MAX_QUEUED_CALLS)
+        self._link: asyncio.Task[None] | None = None  # the watch, or the request for the full state
+        self._connection = 0  # number of the current connection; input of earlier ones is dropped
+        self._tasks: set[asyncio.Task[None]] = set()  # writes, reports and calls that wait for the queue
         self._runner: asyncio.Task[None] | None = None
         self._timer: asyncio.TimerHandle | None = None
-        self._due_waits = False
+        self._due_queued = False
 
-    # Life
+    # Start and stop
 
     def recover(self) -> None:
-        """Take up what was kept: where a version is to be in force at once, `take` is called in here. It may
-        block, on the disk: nobody is served yet."""
+        """Read the stored state; a version that is to be in force at once is put in force during this call.
+
+        Blocks on the disk, which is acceptable as the front serves nobody yet."""
         data = b""
         if self._file is not None:
             try:
@@ -87,68 +90,68 @@
                 pass
             except OSError as problem:
                 log.error("config-kept-unreadable", why=str(problem))
-        pending, effects = list[Effect](), self.follower.begin(clock(), wall_clock_us(), data)
+        remaining, effects = list[Effect](), self.follower.begin(clock(), wall_clock_us(), data)
         while effects:
             effect = effects.pop(0)
             if isinstance(effect, Persist):
                 effects += self.follower.write_finished(clock(), effect.number, self._write(effect.data))
             elif isinstance(effect, PutInForce):
-                self._take(effect)
+                self._put_in_force(effect)
             else:
-                pending.append(effect)
-        self._pending = pending
+                remaining.append(effect)
+        self._startup_effects = remaining
 
     def begin(self) -> None:
-        """Begin to follow; what was kept is taken up first, where `recover` has not done so."""
-        if self._pending is None:
+        """Start following; reads the stored state first unless `recover` has done so."""
+        if self._startup_effects is None:
             self.recover()
         self._runner = asyncio.create_task(self._run())
-        for effect in self._pending or ():
+        for effect in self._startup_effects or ():
             self._carry_out(effect)
         self._set_timer()
 
     async def close(self) -> None:
-        """End. What is being written is written whole."""
+        """Stop following, and wait for the tasks to end. A write in progress completes."""
         await asyncio.gather(*self.end(), return_exceptions=True)
 
     def end(self) -> "list[asyncio.Task[None]]":
-        """End at once, as a killed process does; returns what ends a little later."""
+        """Stop at once, as a killed process does; returns the cancelled tasks, which end a little later."""
         self._close_timer()
-        tasks = [task for task in (self._runner, self._link, *self._beside) if task is not None]
+        tasks = [task for task in (self._runner, self._link, *self._tasks) if task is not None]
         for task in tasks:
             task.cancel()
         return tasks
 
-    # Into the core
+    # Calls of the core
 
     async def _run(self) -> None:
         while True:
-            call, long = await self._calls.get()
+            call, in_thread = await self._calls.get()
             try:
-                for effect in await asyncio.to_thread(call, clock()) if long else call(clock()):
+                for effect in await asyncio.to_thread(call, clock()) if in_thread else call(clock()):
                     self._carry_out(effect)
             except Exception:
-                # Guards against a fault in here: what is in force stays, and what comes next is looked at
+                # A fault in the core must not end the task: the version in force stays, the next call is made
                 self._count("faults")
                 log.exception("config-fault")
                 self._set_timer(SECOND)
             else:
                 self._set_timer()
 
-    def _soon(self, call: Call, long: bool = False) -> None:
-        """A call that never waits for room: there is at most one of each kind that comes by here."""
+    def _queue_call(self, call: Call, in_thread: bool = False) -> None:
+        """Queue a call without waiting, even if the queue is full; there is at most one of each kind."""
         try:
-            self._calls.put_nowait((call, long))
+            self._calls.put_nowait((call, in_thread))
         except asyncio.QueueFull:
-            task = asyncio.create_task(self._calls.put((call, long)))
-            self._beside.add(task)
-            task.add_done_callback(self._beside.discard)
+            task = asyncio.create_task(self._calls.put((call, in_thread)))
+            self._tasks.add(task)
+            task.add_done_callback(self._tasks.discard)
 
-    def _set_timer(self, least: int = 0) -> None:
+    def _set_timer(self, min_wait_us: int = 0) -> None:
         self._close_timer()
         due = self.follower.next_due
-        if due is not None and not self._due_waits:
-            wait = max(due - clock(), least) / SECOND
+        if due is not None and not self._due_queued:
+            wait = max(due - clock(), min_wait_us) / SECOND
             self._timer = asyncio.get_running_loop().call_later(wait, self._due)
 
     def _close_timer(self) -> None:
@@ -157,119 +160,139 @@
             self._timer = None
 
     def _due(self) -> None:
-        self._timer, self._due_waits = None, True
-        decide = self.follower.evaluate_at
-        self._soon(self._fall_due, decide is not None and decide <= clock())
+        self._timer, self._due_queued = None, True
+        evaluate_at = self.follower.evaluate_at
+        self._queue_call(self._run_due, evaluate_at is not None and evaluate_at <= clock())
 
-    def _fall_due(self, now: int) -> list[Effect]:
-        self._due_waits = False
+    def _run_due(self, now: int) -> list[Effect]:
+        self._due_queued = False
         return self.follower.run_due(now)
 
-    def _count(self, what: str) -> None:
-        self.counts[what] = self.counts.get(what, 0) + 1
+    def _count(self, reason: str) -> None:
+        self.counts[reason] = self.counts.get(reason, 0) + 1
 
-    # Out of the core
+    # Effects of the core
 
     def _carry_out(self, effect: Effect) -> None:
         match effect:
             case Watch(instance, after):
-                self._connect(self._watch(self._turn + 1, instance, after))
+                self._connect(self._watch(self._connection + 1, instance, after))
             case Fetch(instance):
-                self._connect(self._fetch(self._turn + 1, instance))
+                self._connect(self._fetch(self._connection + 1, instance))
             case Disconnect():
                 self._connect(None)
             case Persist(number, data):
-                self._start(self._keep(number, data))
+                self._start(self._persist(number, data))
             case PutInForce():
-                self._take(effect)
+                self._put_in_force(effect)
             case SendReport():
-                self._start(self._tell(effect))
+                self._start(self._send_report(effect))
             case LogEvent(level, event, detail):
                 getattr(log, level)(event, detail=detail, front=self.follower.me)
                 if event == "config-refused" and self.refused is not None:
                     self.refused(*self.follower.refused)
 
     def _connect(self, work: "Coroutine[Any, Any, None] | None") -> None:
-        """One connection to one instance at a time: the one before is closed."""
-        self._turn += 1
+        """Replace the connection: close the previous one and start `work`, if any."""
+        self._connection += 1
         if self._link is not None:
             self._link.cancel()
         self._link = None if work is None else asyncio.create_task(work)
 
     def _start(self, work: "Coroutine[Any, Any, None]") -> None:
         task = asyncio.create_task(work)
-        self._beside.add(task)
-        task.add_done_callback(self._beside.discard)
+        self._tasks.add(task)
+        task.add_done_callback(self._tasks.discard)
 
     # Instances
 
-    async def _watch(self, turn: int, instance: int, after: int) -> None:
+    async def _watch(self, connection: int, instance: int, after: int) -> None:
         host, port = self.instances[instance]
         pool = Pool(host, port, 1, CONNECT_TIMEOUT_US / SECOND)
         path = f"/config/watch?after={after}&front={self.follower.me}"
         try:
-            # The core ends a silence by its own clock; this one only guards against a lost timer
+            # The core detects silence by its own timer; this time-out only covers the loss of that timer
             async for line in pool.lines(path, 2 * self.follower.silence / SECOND, MAX_LINE_BYTES):
-                came = partial(self._of, turn, self._line, instance, line)
-                await self._calls.put((came, len(line) > LONG_LINE))
-            lost = partial(self._of, turn, self._lost, instance, Loss.BROKEN, 0)
+                receive = partial(self._if_current, connection, self._receive_line, instance, line)
+                await self._calls.put((receive, len(line) > LONG_LINE_BYTES))
+            outcome = partial(self._if_current, connection, self._connection_lost, instance, Loss.BROKEN, 0)
         except TurnedAwayError as problem:
             if problem.status == 410:
                 newest = _number(problem.headers.get("etag", ""))
-                lost = partial(self._of, turn, self._not_kept, instance, newest)
+                outcome = partial(self._if_current, connection, self._history_unavailable, instance, newest)
             else:
-                lost = partial(
-                    self._of, turn, self._lost, instance, Loss.TURNED_AWAY, int(problem.stay_away * SECOND)
+                outcome = partial(
+                    self._if_current,
+                    connection,
+                    self._connection_lost,
+                    instance,
+                    Loss.TURNED_AWAY,
+                    int(problem.stay_away * SECOND),
                 )
         except (NotSentError, BrokenError, LateError) as problem:
-            lost = partial(self._of, turn, self._lost, instance, self._how(problem), 0)
+            outcome = partial(
+                self._if_current, connection, self._connection_lost, instance, self._loss_of(problem), 0
+            )
         finally:
             pool.close()
-        await self._calls.put((lost, False))
+        await self._calls.put((outcome, False))
 
-    async def _fetch(self, turn: int, instance: int) -> None:
+    async def _fetch(self, connection: int, instance: int) -> None:
         host, port = self.instances[instance]
-        pool = Pool(host, port, 1, CONNECT_TIMEOUT_US / SECOND, most_body=MOST_WHOLE)
+        pool = Pool(host, port, 1, CONNECT_TIMEOUT_US / SECOND, most_body=MAX_FULL_STATE_BYTES)
         try:
             answer = await pool.request("GET", "/config/file", timeout=self.follower.silence / SECOND)
             if answer.status != 200:
                 raise TurnedAwayError(answer.status, 0.0, answer.headers)
             number, text = _number(answer.headers.get("etag", "")), answer.body.decode()
             if number < 0:
-                raise BrokenError("a whole state without its version")
-            got = partial(
-                self._of, turn, self._whole, instance, number, text, answer.headers.get("config-digest", "")
+                raise BrokenError("answer of GET /config/file has no version in its ETag")
+            outcome = partial(
+                self._if_current,
+                connection,
+                self._receive_full_state,
+                instance,
+                number,
+                text,
+                answer.headers.get("config-digest", ""),
             )
         except UnicodeDecodeError:
             self._count("no-text")
-            got = partial(self._of, turn, self._lost, instance, Loss.BROKEN, 0)
+            outcome = partial(self._if_current, connection, self._connection_lost, instance, Loss.BROKEN, 0)
         except (NotSentError, BrokenError, LateError) as problem:
-            got = partial(self._of, turn, self._lost, instance, self._how(problem), 0)
+            outcome = partial(
+                self._if_current, connection, self._connection_lost, instance, self._loss_of(problem), 0
+            )
         finally:
             pool.close()
-        await self._calls.put((got, True))
+        await self._calls.put((outcome, True))
+
+    def _if_current(
+        self, connection: int, call: Callable[..., list[Effect]], *arguments: Any
+    ) -> list[Effect]:
+        """Make a call unless its connection has been replaced while the call was queued.
 
-    def _of(self, turn: int, call: Callable[..., list[Effect]], *about: Any) -> list[Effect]:
-        """Guards against lines that waited while the core turned away from what brought them. The last of
-        `about` is the moment."""
-        if turn == self._turn:
-            return call(*about)
+        The last argument is the time."""
+        if connection == self._connection:
+            return call(*arguments)
         self._count("late")
         return []
 
-    def _line(self, instance: int, line: bytes, now: int) -> list[Effect]:
+    def _receive_line(self, instance: int, line: bytes, now: int) -> list[Effect]:
         return self.follower.receive_line(now, instance, line)
 
-    def _whole(self, instance: int, number: int, text: str, digest: str, now: int) -> list[Effect]:
+    def _receive_full_state(
+        self, instance: int, number: int, text: str, digest: str, now: int
+    ) -> list[Effect]:
         return self.follower.receive_full_state(now, instance, number, text, digest)
 
-    def _not_kept(self, instance: int, newest: int, now: int) -> list[Effect]:
+    def _history_unavailable(self, instance: int, newest: int, now: int) -> list[Effect]:
         return self.follower.history_unavailable(now, instance, newest)
 
-    def _lost(self, instance: int, how: Loss, stay_away: int, now: int) -> list[Effect]:
-        return self.follower.connection_lost(now, instance, how, 0, stay_away)
+    def _connection_lost(self, instance: int, loss: Loss, stay_away: int, now: int) -> list[Effect]:
+        return self.follower.connection_lost(now, instance, loss, 0, stay_away)
 
-    def _how(self, problem: Exception) -> Loss:
+    def _loss_of(self, problem: Exception) -> Loss:
         match problem:
             case NotSentError():
                 return Loss.REFUSED if problem.refused else Loss.LATE
@@ -281,45 +304,48 @@
                 return Loss.TURNED_AWAY
         return Loss.BROKEN
 
-    async def _tell(self, effect: SendReport) -> None:
+    async def _send_report(self, effect: SendReport) -> None:
         host, port = self.instances[effect.instance]
         pool = Pool(host, port, 1, CONNECT_TIMEOUT_US / SECOND)
-        why = ""
+        failure = ""
         try:
-            answer = await pool.request("POST", "/config/fronts", effect.report, ANSWER)
-            why = "" if answer.status == 204 else f"status {answer.status}"
+            answer = await pool.request("POST", "/config/fronts", effect.report, REPORT_TIMEOUT_S)
+            failure = "" if answer.status == 204 else f"status {answer.status}"
         except (NotSentError, BrokenError, LateError) as problem:
-            why = str(problem)
+            failure = str(problem)
         finally:
             pool.close()
-        if why:
+        if failure:
             self._count("reports-not-taken")
-        await self._calls.put((partial(self._told, not why), False))
+        await self._calls.put((partial(self._report_finished, not failure), False))
 
-    def _told(self, ok: bool, now: int) -> list[Effect]:
+    def _report_finished(self, ok: bool, now: int) -> list[Effect]:
         return self.follower.report_finished(now, ok)
 
-    # The disk
+    # Storage
 
-    async def _keep(self, number: int, data: bytes) -> None:
+    async def _persist(self, number: int, data: bytes) -> None:
         ok = await asyncio.to_thread(self._write, data)
-        await self._calls.put((partial(self._kept, number, ok), False))
+        await self._calls.put((partial(self._write_finished, number, ok), False))
 
-    def _kept(self, number: int, ok: bool, now: int) -> list[Effect]:
+    def _write_finished(self, number: int, ok: bool, now: int) -> list[Effect]:
         return self.follower.write_finished(now, number, ok)
 
     def _write(self, data: bytes) -> bool:
-        """Written beside and renamed in, so that a crash leaves the old state or the new one; the folder is
-        synced as well, for what is in force must not be forgotten. Where nothing is to be kept, it is so."""
+        """Replace the state file; returns whether the data is durable.
+
+        The data is written to a temporary file that is renamed, so that a crash leaves the old or the new
+        state. The folder is synced too, as a version in force must not be lost. Without a state file this
+        succeeds."""
         if self._file is None:
             return True
-        beside = self._file.with_name(f"{self._file.name}.new")
+        temporary = self._file.with_name(f"{self._file.name}.new")
         try:
-            with beside.open("wb") as file:
+            with temporary.open("wb") as file:
                 file.write(data)
                 file.flush()
                 os.fsync(file.fileno())
-            beside.replace(self._file)
+            temporary.replace(self._file)
             folder = os.open(self._file.parent, os.O_RDONLY)
             try:
                 os.fsync(folder)
@@ -329,12 +355,12 @@
             self._count("not-written")
             log.warning("config-not-written", why=str(problem), file=str(self._file))
             with contextlib.suppress(OSError):
-                beside.unlink(missing_ok=True)
+                temporary.unlink(missing_ok=True)
             return False
         return True
 
 
 def _number(tag: str) -> int:
-    """The version that an entity tag names; -1 where it names none."""
-    found = re.fullmatch(r'"v(\d{1,16})"', tag.strip())
-    return int(found[1]) if found else -1
+    """The version that an entity tag names; -1 if it names none."""
+    match = re.fullmatch(r'"v(\d{1,16})"', tag.strip())
+    return int(match[1]) if match else -1
--- a/ponddoor/front/process.py
+++ b/ponddoor/front/process.py
@@ -31,7 +31,14 @@
 from ponddoor.front.sealed import Seal
 from ponddoor.front.seating import Seating
 from ponddoor.front.servers import Servers
-from ponddoor.front.taking import Terms, at_start, begun, taken, unusable, unusable_at_start
+from ponddoor.front.taking import (
+    Terms,
+    initial_terms,
+    reasons_against,
+    reasons_against_start,
+    site_at_start,
+    updated_terms,
+)
 from ponddoor.front.trace import Tracer
 from ponddoor.front.viewers import Viewers
 from ponddoor.front.words import GossipSocket, wall_clock_us
@@ -89,7 +96,7 @@
         self.following = self._make_following(site.follow, seed, kept) if site.follow is not None else None
         if self.following is not None:
             self.following.recover()  # sets `site` to the kept version, which the rest is made from
-        site, terms = self.site, self._terms or begun(self.site)
+        site, terms = self.site, self._terms or initial_terms(self.site)
         now = clock()
         facts = replace(site.facts_of(me, seed), wall=wall_clock_us() - now)
         self.decisions = make_decisions(facts, now)
@@ -252,7 +259,7 @@
     @property
     def terms(self) -> Terms:
         """The configuration that applies to new requests."""
-        return self._terms or begun(self.site)
+        return self._terms or initial_terms(self.site)
 
     def _make_following(self, side: FollowSide, seed: int, kept: Path | None) -> Following:
         drain_grace = self._start_site.facts.rules.drain_grace
@@ -279,14 +286,18 @@
     def _unusable_reasons(self, version: Site) -> tuple[str, ...]:
         """The reasons why this front cannot apply a version now. Is also called from other threads."""
         terms = self._terms
-        return unusable_at_start(self._start_site, version) if terms is None else unusable(terms, version)
+        return (
+            reasons_against_start(self._start_site, version)
+            if terms is None
+            else reasons_against(terms, version)
+        )
 
     def _take_version(self, version: PutInForce) -> None:
         """Puts a version in force. Before the start it becomes the site. Later it is applied as a whole
         between two calls of the engine."""
         if self._terms is None:
-            self.site = at_start(self._start_site, version.site)
-            self._terms = begun(self.site, version.number, version.digest)
+            self.site = site_at_start(self._start_site, version.site)
+            self._terms = initial_terms(self.site, version.number, version.digest)
         else:
             self.apply(lambda now: self._put_in_force(now, version))
         log.info("config-in-force", version=version.number, digest=version.digest)
@@ -295,7 +306,7 @@
 
     def _put_in_force(self, now: int, version: PutInForce) -> list[Effect]:
         old_terms = self.terms
-        self._terms = self.viewers.terms = new_terms = taken(
+        self._terms = self.viewers.terms = new_terms = updated_terms(
             old_terms, version.site, version.number, version.digest
         )
         self.site = site = new_terms.site
--- a/ponddoor/front/taking.py
+++ b/ponddoor/front/taking.py
@@ -1,14 +1,14 @@
-"""What of a version of the configuration a front takes in service, and why not; free of I/O.
+"""Which parts of a configuration version a front takes over, and why it can't take others; free of I/O.
 
-Service groups and tenants are known by numbers: sessions, seats and the account keep them. In a front's life
-a number means the same for good: what a version drops keeps its number and admits nobody new, what is new
-comes last, what comes back has its old one. So the numbers of two fronts may differ; nothing that they tell
-each other has any.
+Sessions, seats and the log of decisions refer to service groups and tenants by number. For the life of a
+front a number keeps its meaning: a name that a version removes keeps its number and admits no new sessions, a
+new name gets the next number, and a name that returns gets its old one. The numbers of two fronts may
+therefore differ; no message between fronts contains them.
 
-What hangs on the front's start, in the decisions or in a shell (the account's timing, links and racks, the
-rules of set-ups), can't change while it serves: a version that changes it is refused whole, with the names of
-the parts, and is taken at the next start. Where a front stands (fronts, words, list, hints, node, follow) is
-its own file's; what a version says of it counts for nobody."""
+Some parts are fixed when the front starts, as the decisions or an I/O shell depend on them (reporting times,
+links and racks, the rules of SETUPs). A version that changes such a part is refused as a whole, with the
+names of the parts, and is taken at the next start. A front's own place (fronts, words, list, hints, node,
+follow) comes from its own site file; what a version says about it is ignored."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, replace
@@ -17,11 +17,11 @@
 from ponddoor.interface.facts import ServiceGroup, Tenant
 from ponddoor.settings.site import SeatTerms, Site
 
-MOST_NUMBERS = 1000  # service groups, and tenants, in one life of a front
+MAX_NUMBERS = 1000  # of service groups, and of tenants, in one life of a front
 T = TypeVar("T", ServiceGroup, Tenant)
 
-# What can't change in service, by the form that says it
-FIXED: dict[str, Callable[[Site], object]] = {
+# The parts of a site that can't change in service, by the form that sets them
+FIXED_PARTS: dict[str, Callable[[Site], object]] = {
     "zones": lambda site: site.zones,
     "kinds": lambda site: (site.kinds, site.facts.plant.streams),
     "plant": lambda site: replace(site.facts.plant, streams=()),
@@ -36,46 +36,49 @@
 
 @dataclass(frozen=True, slots=True)
 class Terms:
-    """What a front goes by for who comes now. `site` has service groups and tenants under the numbers of this
-    front's life; `groups` and `tenants` are those that are open, by name."""
+    """The terms on which a front admits new sessions.
+
+    `site` lists every service group and tenant under its number in this front's life; `groups` and `tenants`
+    map the names of those that are open to their numbers."""
 
     site: Site
     groups: dict[str, int]
     tenants: dict[str, int]
-    least: int  # start target at the front's start: the fleet's timing hangs on it
-    seats: bool  # the front began with entitlements
+    min_start_target: int  # in us, at the front's start; the fleet's timing derives from it
+    has_entitlements: bool  # at the front's start
     version: int = 0
     digest: str = ""
 
     def number_of_group(self, name: str) -> int | None:
-        """The number of a service group that is open or was."""
+        """The number of a service group that is or was open; None for an unknown name."""
         return _number(name, self.site.facts.groups)
 
     def number_of_tenant(self, name: str) -> int | None:
-        """Likewise; 0 while the site has no tenants, as in a request that names none."""
+        """The number of a tenant that is or was open; 0 for any name while the site has no tenants."""
         return _number(name, self.site.facts.tenants) if self.site.facts.tenants else 0
 
 
-def begun(site: Site, version: int = 0, digest: str = "") -> Terms:
-    """A front begins by a site, its own file's or a version's."""
+def initial_terms(site: Site, version: int = 0, digest: str = "") -> Terms:
+    """The terms of a front that starts with a site, from its own file or from a version."""
     groups, tenants = site.facts.groups, site.facts.tenants
     return Terms(
         site,
         _open(groups, groups),
         _open(tenants, tenants),
-        _least(site),
+        _min_start_target(site),
         bool(site.seats.limits),
         version,
         digest,
     )
 
 
-# At a start: all of a version, but where the front stands
+# At the start: all of a version except the front's own place
+
 
+def site_at_start(own: Site, version: Site) -> Site:
+    """The site of a version with this front's own place in it.
 
-def at_start(own: Site, version: Site) -> Site:
-    """A front's own place in the site that a version describes; `unusable_at_start` must have found
-    nothing."""
+    `reasons_against_start` must have returned no reason."""
     fronts = tuple(
         replace(place, zone=version.zones.index(own.zones[place.zone])) if own.zones else place
         for place in own.fronts
@@ -94,43 +97,48 @@
     )
 
 
-def unusable_at_start(own: Site, version: Site) -> tuple[str, ...]:
-    """Why a front can't begin by a version."""
-    found: list[str] = []
+def reasons_against_start(own: Site, version: Site) -> tuple[str, ...]:
+    """The reasons why a front can't start with a version; empty if it can."""
+    reasons: list[str] = []
     missing = sorted({own.zones[place.zone] for place in own.fronts if own.zones} - set(version.zones))
     if missing:
-        found.append(f"zones: no {', '.join(missing)}, where fronts of this file stand")
-    talks = version.facts.permissions.messages and len(own.fronts) > 1
-    if (talks or version.seats.limits) and not any(own.words.key):
-        found.append("words: no key in this front's own file")
-    return tuple(found)
+        reasons.append(f"zones: no {', '.join(missing)}, which fronts of this file are in")
+    sends_messages = version.facts.permissions.messages and len(own.fronts) > 1
+    if (sends_messages or version.seats.limits) and not any(own.words.key):
+        reasons.append("words: no key in this front's own file")
+    return tuple(reasons)
 
 
 # In service
 
 
-def unusable(held: Terms, version: Site) -> tuple[str, ...]:
-    """Why a front that serves can't take a version; empty: it can."""
-    found = [f"{name}: only at a start" for name, part in FIXED.items() if part(held.site) != part(version)]
-    if _least(version) != held.least:
-        found.append(f"groups: least start target {_least(version)} us, {held.least} us until the next start")
-    if version.seats.limits and not held.seats:
-        found.append("entitlements: none at this front's start")
-    for what, ours, theirs in (
+def reasons_against(held: Terms, version: Site) -> tuple[str, ...]:
+    """The reasons why a front in service can't take a version; empty if it can."""
+    reasons = [
+        f"{name}: only at a start" for name, part in FIXED_PARTS.items() if part(held.site) != part(version)
+    ]
+    if _min_start_target(version) != held.min_start_target:
+        reasons.append(
+            f"groups: least start target {_min_start_target(version)} us, "
+            f"{held.min_start_target} us until the next start"
+        )
+    if version.seats.limits and not held.has_entitlements:
+        reasons.append("entitlements: none at this front's start")
+    for kind, held_names, new_names in (
         ("groups", _names(held.site.facts.groups), _names(version.facts.groups)),
         ("tenants", _names(held.site.facts.tenants), _names(version.facts.tenants)),
     ):
-        numbers = len(dict.fromkeys([*ours, *theirs]))
-        if numbers > MOST_NUMBERS:
-            found.append(f"{what}: {numbers} names in this front's life, {MOST_NUMBERS} at most")
+        numbers = len(dict.fromkeys([*held_names, *new_names]))
+        if numbers > MAX_NUMBERS:
+            reasons.append(f"{kind}: {numbers} names in this front's life, {MAX_NUMBERS} at most")
     if bool(held.site.facts.tenants) != bool(version.facts.tenants):
-        # Requests of a site without tenants count as the first tenant's: the number would change its meaning
-        found.append("tenants: none, or the first, only at a start")
-    return tuple(found)
+        # Requests to a site without tenants count for tenant number 0, which would change its meaning
+        reasons.append("tenants: none, or the first, only at a start")
+    return tuple(reasons)
 
 
-def taken(held: Terms, version: Site, number: int, digest: str) -> Terms:
-    """What a front goes by once it has taken a version; `unusable` must have found nothing."""
+def updated_terms(held: Terms, version: Site, number: int, digest: str) -> Terms:
+    """The terms of a front after it has taken a version; `reasons_against` must have returned no reason."""
     old, new = held.site.facts, version.facts
     groups, tenants = _numbered(old.groups, new.groups), _numbered(old.tenants, new.tenants)
     facts = replace(
@@ -149,23 +157,24 @@
 
 
 def _numbered(old: tuple[T, ...], new: tuple[T, ...]) -> tuple[T, ...]:
-    """All that ever was, each under its number and by its newest terms; what is new comes last."""
-    named: dict[str, T] = {one.name: one for one in old}
-    return tuple((named | {one.name: one for one in new}).values())
+    """All entries of this front's life under their numbers, with their newest terms; new ones come last."""
+    by_name: dict[str, T] = {entry.name: entry for entry in old}
+    return tuple((by_name | {entry.name: entry for entry in new}).values())
 
 
 def _open(numbered: tuple[T, ...], new: tuple[T, ...]) -> dict[str, int]:
-    named = set(_names(new))
-    return {one.name: number for number, one in enumerate(numbered) if one.name in named}
+    """The numbers of the entries that a version names, by name."""
+    open_names = set(_names(new))
+    return {entry.name: number for number, entry in enumerate(numbered) if entry.name in open_names}
 
 
-def _number(name: str, among: tuple[T, ...]) -> int | None:
-    return next((number for number, one in enumerate(among) if one.name == name), None)
+def _number(name: str, numbered: tuple[T, ...]) -> int | None:
+    return next((number for number, entry in enumerate(numbered) if entry.name == name), None)
 
 
-def _names(of: tuple[T, ...]) -> list[str]:
-    return [one.name for one in of]
+def _names(entries: tuple[T, ...]) -> list[str]:
+    return [entry.name for entry in entries]
 
 
-def _least(site: Site) -> int:
+def _min_start_target(site: Site) -> int:
     return min((group.start_target for group in site.facts.groups), default=0)
--- a/ponddoor/rehearse/hollow_following.py
+++ b/ponddoor/rehearse/hollow_following.py
@@ -26,9 +26,9 @@
 
     held: bytes = b""  # what was kept last
 
-    async def _keep(self, number: int, data: bytes) -> None:
+    async def _persist(self, number: int, data: bytes) -> None:
         self.held = data
-        await self._calls.put((partial(self._kept, number, True), False))
+        await self._calls.put((partial(self._write_finished, number, True), False))
 
     def _write(self, data: bytes) -> bool:
         self.held = data
--- a/tests/following/test_front.py
+++ b/tests/following/test_front.py
@@ -218,7 +218,7 @@
 
 
 def base() -> taking.Terms:
-    return taking.begun(loads(site_text(ports=[1, 2, 3], list_port=9)))
+    return taking.initial_terms(loads(site_text(ports=[1, 2, 3], list_port=9)))
 
 
 @pytest.mark.parametrize(
@@ -241,7 +241,7 @@
 def test_what_a_front_in_service_does_not_take(old: str, new: str, why: str) -> None:
     text = site_text(ports=[1, 2, 3], list_port=9)
     assert text.count(old) == 1
-    [found] = taking.unusable(base(), loads(text.replace(old, new)))
+    [found] = taking.reasons_against(base(), loads(text.replace(old, new)))
     assert why in found
 
 
@@ -249,23 +249,23 @@
     own, text = loads(site_text(ports=[1, 2, 3], list_port=9)), site_text(ports=[4, 5, 6], list_port=8)
     elsewhere = text.replace("(zone north)", "(zone south)")
     version = loads(elsewhere.replace("(zones north)", "(zones south north)"))
-    assert taking.unusable_at_start(own, version) == ()
-    site = taking.at_start(own, version)
+    assert taking.reasons_against_start(own, version) == ()
+    site = taking.site_at_start(own, version)
     assert site.listing == own.listing and site.fronts[0].viewers == own.fronts[0].viewers
     assert site.zones[site.fronts[0].zone] == "north" and site.facts_of(0, 1).zone == 1
     missing = loads(elsewhere.replace("(zones north)", "(zones south)"))
-    assert "north" in taking.unusable_at_start(own, missing)[0]
+    assert "north" in taking.reasons_against_start(own, missing)[0]
 
 
 def test_numbers_have_a_bound(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(taking, "MOST_NUMBERS", 2)
+    monkeypatch.setattr(taking, "MAX_NUMBERS", 2)
     terms, text = base(), site_text(ports=[1, 2, 3], list_port=9)
     for number, fits in ((1, True), (2, False), (1, True)):
         name = f"g{number}"
         version = loads(text.replace("(group clips", f"(group {name}"))
-        assert (taking.unusable(terms, version) == ()) is fits
+        assert (taking.reasons_against(terms, version) == ()) is fits
         if fits:
-            terms = taking.taken(terms, version, number, "")
+            terms = taking.updated_terms(terms, version, number, "")
             assert terms.groups == {name: 1}
 
 
