--- a/tests/front/test_world.py
+++ b/tests/front/test_world.py
@@ -1,4 +1,4 @@
-"""A front on real sockets, with stand-ins in the same process and troubles caused on purpose."""
+"""A front on real sockets, with simulated media servers and list in the same process, and injected faults."""
 
 import asyncio
 import contextlib
@@ -22,24 +22,24 @@
 Run = Callable[..., None]
 
 
-async def raw(port: int, data: bytes, wait: float = 3.0, source: str = "127.0.0.1") -> bytes:
-    """What comes back for bytes, until the far end closes or time is up."""
+async def send_raw(port: int, data: bytes, wait: float = 3.0, source: str = "127.0.0.1") -> bytes:
+    """Sends bytes and returns what comes back until the peer closes or `wait` seconds have passed."""
     reader, writer = await asyncio.open_connection("127.0.0.1", port, local_addr=(source, 0))
-    got = b""
+    received = b""
     with contextlib.suppress(TimeoutError, OSError):
         writer.write(data)
         async with asyncio.timeout(wait):
-            while piece := await reader.read(65536):
-                got += piece
+            while chunk := await reader.read(65536):
+                received += chunk
     writer.close()
-    return got
+    return received
 
 
 def test_a_session_from_request_to_end(in_world: Run) -> None:
     async def live(world: World) -> None:
-        got = await world.ask(top=2)
-        body = got.json()
-        assert (got.status, body["state"]) == (201, "playing") and got.headers["location"].endswith(
+        answer = await world.ask(top=2)
+        body = answer.json()
+        assert (answer.status, body["state"]) == (201, "playing") and answer.headers["location"].endswith(
             str(body["session"])
         )
         assert [key[0] for key in world.streams()] == [body["session"]]
@@ -52,21 +52,21 @@
     in_world(live)
 
 
-def test_rungs_and_ends_are_told_as_events(in_world: Run) -> None:
+def test_the_state_and_the_end_of_a_session_are_sent_as_events(in_world: Run) -> None:
     async def live(world: World) -> None:
         sess = str((await world.ask()).json()["session"])
         pool = Pool("127.0.0.1", world.front_ports[0])
         lines: list[bytes] = []
 
-        async def follow() -> None:
+        async def read_events() -> None:
             async for line in pool.lines(f"/sessions/{sess}/events", 5.0):
                 lines.append(line)
 
-        following = asyncio.create_task(follow())
+        reader = asyncio.create_task(read_events())
         await world.until(lambda: lines)
         await world.call("DELETE", f"/sessions/{sess}")
         with contextlib.suppress(BrokenError):
-            await following
+            await reader
         assert b'"state"' in lines[0] and b'"ended"' in lines[-1]
 
     in_world(live)
@@ -96,7 +96,7 @@
     in_world(live, audited=False)
 
 
-def test_one_of_two_who_wait_may_leave(in_world: Run) -> None:
+def test_one_of_two_clients_waiting_for_a_session_may_leave(in_world: Run) -> None:
     async def live(world: World) -> None:
         for media in world.media:
             media.fault(Fault("slow", size=3))
@@ -109,8 +109,8 @@
     in_world(live, audited=False)
 
 
-async def stub(answer: bytes, hold: bool) -> tuple[asyncio.Server, int]:
-    """A server of one trick: reads a request's beginning, writes some bytes, and closes or holds on."""
+async def start_faulty_server(answer: bytes, hold: bool) -> tuple[asyncio.Server, int]:
+    """Starts a server that reads a request, writes `answer`, and then closes or, with `hold`, waits."""
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         with contextlib.suppress(OSError, asyncio.CancelledError):
@@ -124,7 +124,7 @@
     return server, int(server.sockets[0].getsockname()[1])
 
 
-TRICKS = {
+FAULTY_ANSWERS = {
     "never answers": (b"", True),
     "half an answer": (b'HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\n{"sess', False),
     "no HTTP": (b"what?\r\n\r\n", False),
@@ -136,16 +136,18 @@
 }
 
 
-@pytest.mark.parametrize("trick", TRICKS.values(), ids=TRICKS.keys())
-def test_a_bad_server_costs_a_further_setup_and_no_session(in_world: Run, trick: tuple[bytes, bool]) -> None:
+@pytest.mark.parametrize("faulty_answer", FAULTY_ANSWERS.values(), ids=FAULTY_ANSWERS.keys())
+def test_a_faulty_server_costs_one_more_setup_but_no_session(
+    in_world: Run, faulty_answer: tuple[bytes, bool]
+) -> None:
     async def live(world: World) -> None:
-        server, port = await stub(*trick)
-        good = world.listing.entries[100]
-        bad = msgspec.structs.replace(good, server=7, address=f"127.0.0.1:{port}", weight=50.0)
-        world.listing.publish(bad)
+        server, port = await start_faulty_server(*faulty_answer)
+        entry = world.listing.entries[100]
+        faulty_entry = msgspec.structs.replace(entry, server=7, address=f"127.0.0.1:{port}", weight=50.0)
+        world.listing.publish(faulty_entry)
         await world.until(lambda: 7 in world.fronts[0].servers.links)
-        got = await world.ask()
-        assert got.status == 201 and got.json()["server"] != bad.address
+        answer = await world.ask()
+        assert answer.status == 201 and answer.json()["server"] != faulty_entry.address
         assert world.fronts[0].engine.counts.setups["started"] == 1
         assert sum(world.fronts[0].engine.counts.setups.values()) == 2
         server.close()
@@ -157,17 +159,17 @@
     async def live(world: World) -> None:
         for media in world.media[:2]:
             media.fault(Fault("answer_lost", size=1.0, how="silent"))
-        got = await world.ask()
-        assert got.status == 201
-        await world.until(lambda: [key[0] for key in world.streams()] == [got.json()["session"]])
+        answer = await world.ask()
+        assert answer.status == 201
+        await world.until(lambda: [key[0] for key in world.streams()] == [answer.json()["session"]])
 
     in_world(live)
 
 
-def test_a_server_that_dies_in_mid_play_ends_its_sessions(in_world: Run) -> None:
+def test_a_server_that_dies_during_play_ends_its_sessions(in_world: Run) -> None:
     async def live(world: World) -> None:
         sess = str((await world.ask()).json()["session"])
-        media = next(m for m in world.media if m.streams)
+        media = next(media for media in world.media if media.streams)
         await media.close()
         await world.until(lambda: world.fronts[0].engine.sessions_held == 0, 4)
         assert (await world.call("GET", f"/sessions/{sess}")).json()["end"] == "lost"
@@ -175,10 +177,10 @@
     in_world(live)
 
 
-def test_a_silent_server_is_noticed_and_swept_when_it_speaks_again(in_world: Run) -> None:
+def test_a_silent_server_loses_its_sessions_and_ends_its_streams_when_it_is_back(in_world: Run) -> None:
     async def live(world: World) -> None:
         await world.ask()
-        media = next(m for m in world.media if m.streams)
+        media = next(media for media in world.media if media.streams)
         media.fault(Fault("hang"))
         await world.until(lambda: world.fronts[0].engine.sessions_held == 0, 5)
         media.fault(Fault("hang", on=False))
@@ -191,20 +193,20 @@
 def test_a_lost_connection_alone_ends_no_session(in_world: Run) -> None:
     async def live(world: World) -> None:
         await world.ask()
-        media = next(m for m in world.media if m.streams)
-        old = media.notes[0]
+        media = next(media for media in world.media if media.streams)
+        old_notes = media.notes[0]
         media.web.drop_all()
-        await world.until(lambda: media.notes.get(0, old) is not old, 4)
+        await world.until(lambda: media.notes.get(0, old_notes) is not old_notes, 4)
         await world.until(lambda: world.fronts[0].servers.links[media.entry.server].up, 4)
         assert world.fronts[0].engine.sessions_held == 1 and len(media.streams) == 1
 
     in_world(live)
 
 
-def test_a_server_back_as_a_new_process_has_lost_its_sessions(in_world: Run) -> None:
+def test_a_restarted_server_has_lost_its_sessions(in_world: Run) -> None:
     async def live(world: World) -> None:
         await world.ask()
-        media = next(m for m in world.media if m.streams)
+        media = next(media for media in world.media if media.streams)
         media.begin_anew()
         await world.until(lambda: world.fronts[0].engine.sessions_held == 0, 4)
         await world.until(lambda: world.fronts[0].servers.links[media.entry.server].up)
@@ -212,17 +214,17 @@
     in_world(live)
 
 
-def test_a_killed_front_leaves_no_streams_and_serves_when_back(in_world: Run, tmp_path: Path) -> None:
+def test_a_killed_front_leaves_no_streams_and_serves_after_a_restart(in_world: Run, tmp_path: Path) -> None:
     async def live(world: World) -> None:
         for _ in range(4):
             await world.ask()
         assert len(world.streams()) == 4
-        old = world.fronts.pop()
-        await old.web.close()
-        await old.metrics_web.close()
-        await old.listing.close()
-        await old.servers.close(0.0)
-        old.kill()
+        old_front = world.fronts.pop()
+        await old_front.web.close()
+        await old_front.metrics_web.close()
+        await old_front.listing.close()
+        await old_front.servers.close(0.0)
+        old_front.kill()
         await world.until(lambda: not world.streams(), 5)
         assert {row["why"] for row in world.seen("ended")} == {"front-gone"}
         world.fronts.append(await world.front(0))
@@ -231,7 +233,7 @@
     in_world(live, kept=tmp_path / "kept.list")
 
 
-def test_a_cold_server_is_not_pushed_over_by_a_front_that_just_began(in_world: Run) -> None:
+def test_a_cold_server_is_not_overloaded_by_a_front_that_just_started(in_world: Run) -> None:
     async def live(world: World) -> None:
         world.media[0].begin_anew()
         await world.until(lambda: world.listing.entries[100].started_us)
@@ -244,7 +246,7 @@
     in_world(live, servers=1, streams=20, cold="8s")
 
 
-def test_a_list_gone_at_the_start_is_replaced_by_the_kept_one(in_world: Run, tmp_path: Path) -> None:
+def test_a_front_starts_with_the_kept_list_if_the_list_is_unreachable(in_world: Run, tmp_path: Path) -> None:
     kept = tmp_path / "kept.list"
 
     async def live(world: World) -> None:
@@ -258,54 +260,59 @@
     in_world(live, kept=kept)
 
 
-@pytest.mark.parametrize("how", ["waiting for a server", "just sent", "not accepted yet"])
-def test_a_request_at_the_end_of_a_front_is_answered_whole(in_world: Run, how: str) -> None:
+@pytest.mark.parametrize("request_state", ["waiting for a server", "just sent", "not accepted yet"])
+def test_a_request_during_the_stop_of_a_front_gets_a_complete_answer(
+    in_world: Run, request_state: str
+) -> None:
     async def live(world: World) -> None:
         body = b'{"title": "t", "group": "clips"}'
         head = b"POST /sessions HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n" % len(body)
         data, port = head + body, world.front_ports[0]
         front = world.fronts.pop()
-        if how == "waiting for a server":
+        if request_state == "waiting for a server":
             for media in world.media:
                 media.fault(Fault("hang"))
-            answer = asyncio.create_task(raw(port, data))
+            answer_task = asyncio.create_task(send_raw(port, data))
             await world.until(lambda: front.engine.requests_in_hand)
-        elif how == "just sent":
+        elif request_state == "just sent":
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
             await world.until(lambda: front.web.open_connections)
             writer.write(data)
-            answer = asyncio.create_task(reader.read(65536))
+            answer_task = asyncio.create_task(reader.read(65536))
         else:
             viewer = socket.create_connection(("127.0.0.1", port))
             viewer.sendall(data)
             viewer.setblocking(False)
-            answer = asyncio.create_task(asyncio.get_running_loop().sock_recv(viewer, 65536))
+            answer_task = asyncio.create_task(asyncio.get_running_loop().sock_recv(viewer, 65536))
         await front.stop()
-        got = await answer
-        status = b"HTTP/1.1 502" if how == "waiting for a server" else b"HTTP/1.1 503"
-        assert got.startswith(status) and got.endswith(b"}"), got
+        answer = await answer_task
+        status = b"HTTP/1.1 502" if request_state == "waiting for a server" else b"HTTP/1.1 503"
+        assert answer.startswith(status) and answer.endswith(b"}"), answer
 
     in_world(live)
 
 
-def test_without_any_list_viewers_are_answered_at_once(in_world: Run) -> None:
+def test_without_any_list_viewers_get_a_busy_reply_at_once(in_world: Run) -> None:
     async def live(world: World) -> None:
         await world.fronts.pop().stop()
         await world.listing.web.close()
         world.fronts.append(await world.front(0))
-        got = await world.ask()
-        assert (got.status, got.json()["state"]) == (503, "busy-replied") and "retry-after" in got.headers
+        answer = await world.ask()
+        assert (answer.status, answer.json()["state"]) == (
+            503,
+            "busy-replied",
+        ) and "retry-after" in answer.headers
 
     in_world(live)
 
 
-def test_asked_discovery_asks_again_when_the_list_is_back(in_world: Run) -> None:
+def test_polled_discovery_resumes_when_the_list_is_reachable_again(in_world: Run) -> None:
     async def live(world: World) -> None:
         assert (await world.ask()).status == 201
         world.listing.down = True
         world.listing.web.drop_all()
         await world.until(lambda: not world.fronts[0].listing.reachable, 4)
-        assert (await world.ask()).status == 201  # with the last list
+        assert (await world.ask()).status == 201  # with the last known list
         world.listing.down = False
         await world.until(lambda: world.fronts[0].listing.reachable, 6)
         world.listing.publish(msgspec.structs.replace(world.listing.entries[100], state="draining"))
@@ -314,25 +321,25 @@
     in_world(live, mode="ask")
 
 
-def test_a_drained_server_gets_nothing_new(in_world: Run) -> None:
+def test_a_draining_server_gets_no_new_setups(in_world: Run) -> None:
     async def live(world: World) -> None:
         for number in (100, 101):
             world.listing.publish(msgspec.structs.replace(world.listing.entries[number], state="draining"))
         roster = world.fronts[0].listing.roster
         await world.until(lambda: roster.version == world.listing.version)
-        begun = len(world.seen("setup"))
+        setups_before = len(world.seen("setup"))
         await asyncio.gather(*(world.ask() for _ in range(6)))
-        assert {row["server"] for row in world.seen("setup")[begun:]} == {102}
+        assert {row["server"] for row in world.seen("setup")[setups_before:]} == {102}
 
     in_world(live)
 
 
-def test_a_blocked_loop_answers_late_work_at_once_and_recovers(in_world: Run) -> None:
+def test_a_blocked_event_loop_refuses_late_requests_at_once_and_recovers(in_world: Run) -> None:
     async def live(world: World) -> None:
-        asking = [asyncio.create_task(world.ask()) for _ in range(5)]
+        requests = [asyncio.create_task(world.ask()) for _ in range(5)]
         await asyncio.sleep(0)
-        time.sleep(0.4)  # the front's loop is this one
-        answers = await asyncio.gather(*asking)
+        time.sleep(0.4)  # blocks the front too, which runs in this event loop
+        answers = await asyncio.gather(*requests)
         assert {answer.json()["error"] for answer in answers} == {"loop-lag"}
         await world.until(lambda: world.fronts[0].gate.lag.last < 100_000)
         assert (await world.ask()).status == 201
@@ -340,7 +347,7 @@
     in_world(live, limits="(loop-lag 200ms)")
 
 
-BAD = {
+BAD_REQUESTS = {
     "no HTTP": (b"\x16\x03\x01 hello\r\n\r\n", b"400"),
     "no host": (b"GET /sessions HTTP/1.1\r\n\r\n", b"400"),
     "header too large": (b"GET / HTTP/1.1\r\nHost: x\r\nA: " + b"a" * 3000, b"431"),
@@ -357,13 +364,13 @@
 }
 
 
-def test_bad_requests_get_an_error_each_and_others_their_service(in_world: Run) -> None:
+def test_each_bad_request_gets_its_error_and_other_requests_are_served(in_world: Run) -> None:
     async def live(world: World) -> None:
         port = world.front_ports[0]
-        bad = [asyncio.create_task(raw(port, data, 1.2)) for data, _ in BAD.values()]
+        bad_requests = [asyncio.create_task(send_raw(port, data, 1.2)) for data, _ in BAD_REQUESTS.values()]
         assert (await world.ask()).status == 201
-        got = await asyncio.gather(*bad)
-        for (name, (_, status)), answer in zip(BAD.items(), got, strict=True):
+        answers = await asyncio.gather(*bad_requests)
+        for (name, (_, status)), answer in zip(BAD_REQUESTS.items(), answers, strict=True):
             assert answer.split(b" ")[1:2] == [status], (name, answer[:80])
             assert b'"error"' in answer and b'"detail"' in answer, name
 
@@ -379,68 +386,69 @@
         ({"wait_ms": 0}, 400, "malformed-body"),
     ],
 )
-def test_requests_that_name_what_is_not_there(
+def test_requests_with_unknown_names_or_invalid_values_are_refused(
     in_world: Run, body: dict[str, Any], status: int, error: str
 ) -> None:
     async def live(world: World) -> None:
-        got = await world.ask(**body)
-        assert (got.status, got.json()["error"]) == (status, error) and not world.seen("setup")
+        answer = await world.ask(**body)
+        assert (answer.status, answer.json()["error"]) == (status, error) and not world.seen("setup")
 
     in_world(live, audited=False)
 
 
-def test_idle_connections_and_slow_readers_harm_nobody(in_world: Run) -> None:
+def test_idle_connections_and_slow_readers_do_not_delay_others(in_world: Run) -> None:
     async def live(world: World) -> None:
         port = world.front_ports[0]
         idle = [await asyncio.open_connection("127.0.0.1", port) for _ in range(1500)]
         sess = str((await world.ask()).json()["session"])
         reader, writer = await asyncio.open_connection("127.0.0.1", port, limit=1)
-        writer.write(b"GET /sessions/x HTTP/1.1\r\nHost: x\r\n\r\n" * 30_000)  # asks and never reads
-        began = time.monotonic()
+        writer.write(b"GET /sessions/x HTTP/1.1\r\nHost: x\r\n\r\n" * 30_000)  # never reads the replies
+        started_s = time.monotonic()
         answers = await asyncio.gather(*(world.ask() for _ in range(20)))
-        assert {answer.status for answer in answers} == {201} and time.monotonic() - began < 3
+        assert {answer.status for answer in answers} == {201} and time.monotonic() - started_s < 3
         assert (await world.call("GET", f"/sessions/{sess}")).status == 200
-        for _, held in [*idle, (reader, writer)]:
-            held.transport.abort()
+        for _, stream_writer in [*idle, (reader, writer)]:
+            stream_writer.transport.abort()
 
     in_world(live, limits="(write-time 300ms)")
 
 
-def test_connections_beyond_the_limits_are_told_so(in_world: Run) -> None:
+def test_connections_over_a_limit_get_a_503(in_world: Run) -> None:
     async def live(world: World) -> None:
         port = world.front_ports[0]
-        held = [await asyncio.open_connection("127.0.0.1", port) for _ in range(4)]
+        connections = [await asyncio.open_connection("127.0.0.1", port) for _ in range(4)]
         await world.until(lambda: world.fronts[0].web.open_connections == 4)
-        assert (await raw(port, b"", 1.0)).startswith(b"HTTP/1.1 503")
-        other = await raw(port, b"GET /x HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n", 1.0, "127.0.0.2")
-        assert other.startswith(b"HTTP/1.1 404")  # another address still has room
-        for _, writer in held:
+        assert (await send_raw(port, b"", 1.0)).startswith(b"HTTP/1.1 503")
+        answer = await send_raw(
+            port, b"GET /x HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n", 1.0, "127.0.0.2"
+        )
+        assert answer.startswith(b"HTTP/1.1 404")  # the limit per address applies to each address alone
+        for _, writer in connections:
             writer.close()
 
     in_world(live, limits="(connections 6) (per-address 4)")
 
 
-def test_idle_connections_are_closed_in_time(in_world: Run) -> None:
+def test_idle_connections_are_closed_after_the_idle_time(in_world: Run) -> None:
     async def live(world: World) -> None:
-        assert await raw(world.front_ports[0], b"", 2.0) == b""
+        assert await send_raw(world.front_ports[0], b"", 2.0) == b""
 
     in_world(live, limits="(idle-time 100ms)")
 
 
-def test_fronts_hear_one_another_and_nobody_else(in_world: Run) -> None:
+def test_fronts_accept_gossip_only_from_one_another(in_world: Run) -> None:
     async def live(world: World) -> None:
         first, second = world.fronts
         await world.ask(0)
         await world.until(lambda: second.decisions.fleet.counts.origins)  # type: ignore[attr-defined]
         target = world.site.fronts[1].words
-        forged = Seal(bytes(16), 0, 2, 10_000_000).seal(wall_clock_us(), b"x")
-        good = Seal(world.site.words.key, 0, 2, 10_000_000).seal(
-            wall_clock_us(), b"x"
-        )  # the right key from a wrong address
+        forged_payload = Seal(bytes(16), 0, 2, 10_000_000).seal(wall_clock_us(), b"x")
+        # The right key, but sent from an address that is no front's.
+        misaddressed_payload = Seal(world.site.words.key, 0, 2, 10_000_000).seal(wall_clock_us(), b"x")
         transport, _ = await asyncio.get_running_loop().create_datagram_endpoint(
             asyncio.DatagramProtocol, remote_addr=target
         )
-        for data in (forged, good, b"", b"cut"):
+        for data in (forged_payload, misaddressed_payload, b"", b"cut"):
             transport.sendto(data)
         await world.until(lambda: second.words.seal.refused.get("forged") == 1)
         await world.until(lambda: second.words.lost.get("address") == 1)
@@ -450,14 +458,14 @@
     in_world(live, fronts=2, permissions="(messages yes)")
 
 
-def test_fronts_told_different_numbers_of_fronts_refuse_each_other(in_world: Run) -> None:
+def test_fronts_configured_with_different_front_counts_refuse_each_other(in_world: Run) -> None:
     async def live(world: World) -> None:
         ports = [
-            port for place in world.site.fronts for _, port in (place.viewers, place.words, place.metrics)
+            port for front in world.site.fronts for _, port in (front.viewers, front.words, front.metrics)
         ]
-        three = loads(site_text(3, world.list_port, [*ports, 1, 2, 3], permissions="(messages yes)"))
+        site_of_three = loads(site_text(3, world.list_port, [*ports, 1, 2, 3], permissions="(messages yes)"))
         await world.fronts.pop().stop()
-        world.fronts.append(await world.front(1, three))
+        world.fronts.append(await world.front(1, site_of_three))
         await world.until(lambda: world.fronts[0].words.seal.miscounted == {1: 3}, 6)
         await world.until(lambda: world.fronts[1].words.seal.miscounted == {0: 2}, 6)
         assert not world.fronts[1].decisions.fleet.counts.origins  # type: ignore[attr-defined]
@@ -465,7 +473,7 @@
     in_world(live, fronts=2, permissions="(messages yes)")
 
 
-def test_drain_answers_what_is_owed_and_reload_changes_limits(in_world: Run, tmp_path: Path) -> None:
+def test_drain_answers_pending_requests_and_reload_changes_limits(in_world: Run, tmp_path: Path) -> None:
     async def live(world: World) -> None:
         front, file = world.fronts[0], tmp_path / "site.pond"
         file.write_text(world.text.replace("(drain-time 0s)", "(drain-time 0s) (held 1)"))
@@ -474,11 +482,11 @@
         file.write_text(world.text.replace("(drain-time 0s)", "(drain-time 0s) (held many)"))
         assert not front.reload(file) and front.gate.limits.held == 1
         front.gate.limits = world.site.limits
-        owed = asyncio.create_task(world.ask())
+        pending = asyncio.create_task(world.ask())
         await world.until(lambda: front.engine.requests_in_hand)
         front.drain()
         assert (await world.ask()).json()["error"] == "draining"
-        assert (await owed).status == 201
+        assert (await pending).status == 201
 
     in_world(live)
 
@@ -497,7 +505,7 @@
     in_world(live)
 
 
-def test_a_look_at_the_metrics_changes_no_decision(in_world: Run) -> None:
+def test_reading_the_metrics_changes_no_decision_state(in_world: Run) -> None:
     async def live(world: World) -> None:
         front: Any = world.fronts[0].decisions
         before = (front.now, front.fleet.now, dict(front.fleet.synced_cache), dict(front.fleet.synced_since))
@@ -508,9 +516,9 @@
     in_world(live)
 
 
-def test_a_full_pool_says_that_nothing_was_sent() -> None:
+def test_a_request_refused_by_a_full_pool_reports_that_nothing_was_sent() -> None:
     async def live() -> None:
-        server, port = await stub(b"", True)
+        server, port = await start_faulty_server(b"", True)
         pool = Pool("127.0.0.1", port, 1)
         waiting = asyncio.create_task(pool.request("GET", "/", timeout=0.3))
         await asyncio.sleep(0)
@@ -527,10 +535,10 @@
     asyncio.run(live())
 
 
-def test_an_answer_nobody_asked_for_closes_its_connection() -> None:
+def test_an_unsolicited_answer_closes_its_connection() -> None:
     async def live() -> None:
-        once = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}"
-        server, port = await stub(once * 2, True)
+        answer = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}"
+        server, port = await start_faulty_server(answer * 2, True)
         pool = Pool("127.0.0.1", port)
         await pool.request("GET", "/")
         assert (pool.unasked, pool.open) == (1, 0)
