--- a/ponddoor/front/process.py
+++ b/ponddoor/front/process.py
@@ -19,7 +19,7 @@
 from ponddoor.front.acting import ActiveMechanisms, DeadFronts, unchanged_decisions
 from ponddoor.front.effects import Effect
 from ponddoor.front.engine import Engine
-from ponddoor.front.follower import Follower, Take
+from ponddoor.front.follower import Follower, PutInForce
 from ponddoor.front.following import Following
 from ponddoor.front.hinting import Hinting
 from ponddoor.front.limits import SAMPLE_PERIOD_US, AdmissionGate, LagMeter
@@ -281,7 +281,7 @@
         terms = self._terms
         return unusable_at_start(self._start_site, version) if terms is None else unusable(terms, version)
 
-    def _take_version(self, version: Take) -> None:
+    def _take_version(self, version: PutInForce) -> None:
         """Puts a version in force. Before the start it becomes the site. Later it is applied as a whole
         between two calls of the engine."""
         if self._terms is None:
@@ -293,7 +293,7 @@
         if self._record_event is not None:
             self._record_event("in-force", front=self.me, version=version.number, digest=version.digest)
 
-    def _put_in_force(self, now: int, version: Take) -> list[Effect]:
+    def _put_in_force(self, now: int, version: PutInForce) -> list[Effect]:
         old_terms = self.terms
         self._terms = self.viewers.terms = new_terms = taken(
             old_terms, version.site, version.number, version.digest
