--- a/ponddoor/interface/script.py
+++ b/ponddoor/interface/script.py
@@ -1,9 +1,12 @@
-"""A generator of the decisions: yields actions, is resumed with what became of them."""
+"""The type of the generators that the decisions are written as.
+
+A script yields actions and is resumed with the event that ended its wait, or with None: see
+`ponddoor.interface.actions`."""
 
 from collections.abc import Generator
 
 from ponddoor.interface.actions import Action
 from ponddoor.interface.events import Ended, PeerMessage, Started, ViewerLeft
 
-Resumed = Started | Ended | ViewerLeft | PeerMessage | None
-Script = Generator[Action, Resumed, None]
+ResumeValue = Started | Ended | ViewerLeft | PeerMessage | None
+Script = Generator[Action, ResumeValue, None]
--- a/ponddoor/node/lines.py
+++ b/ponddoor/node/lines.py
@@ -1,32 +1,34 @@
-"""Lines out of a stream of bytes, free of I/O and bounded."""
+"""Splits a byte stream into lines of bounded length. Does no I/O."""
 
 from dataclasses import dataclass, field
 
 
 class UnreadableError(Exception):
-    """What came does not follow the protocol; whoever sent it is not to be trusted any more."""
+    """Input that violates the protocol. The connection that it came on cannot be used any more."""
 
 
 @dataclass(slots=True)
-class Lines:
-    """Cuts a stream at its line feeds. `most` is the longest line, in bytes."""
+class LineReader:
+    """Splits a stream at line feeds. `max_line_bytes` bounds a line without its line feed."""
 
-    most: int
+    max_line_bytes: int
     _rest: bytearray = field(default_factory=bytearray)
 
     def feed(self, data: bytes) -> list[bytes]:
-        """The lines that are whole now. Raises UnreadableError for one over the limit."""
-        *whole, rest = data.split(b"\n")
-        if whole:
-            whole[0] = bytes(self._rest) + whole[0]
+        """Return the lines completed by `data`. Raises UnreadableError if a line is over the limit."""
+        *lines, rest = data.split(b"\n")
+        if lines:
+            lines[0] = bytes(self._rest) + lines[0]
             self._rest.clear()
-        if len(self._rest) + len(rest) > self.most or any(len(line) > self.most for line in whole):
+        if len(self._rest) + len(rest) > self.max_line_bytes or any(
+            len(line) > self.max_line_bytes for line in lines
+        ):
             self._rest.clear()
-            raise UnreadableError(f"a line of more than {self.most} bytes")
+            raise UnreadableError(f"line is longer than {self.max_line_bytes} bytes")
         self._rest += rest
-        return whole
+        return lines
 
     @property
     def partial(self) -> bool:
-        """Whether a line has begun and not ended."""
+        """Whether a line has been received in part."""
         return bool(self._rest)
--- a/tests/capacity/test_measure.py
+++ b/tests/capacity/test_measure.py
@@ -34,12 +34,13 @@
 
 
 def test_kinds_are_those_of_the_words() -> None:
-    said: list[words.Word] = [
-        words.Telling(1, 1, (), False), words.Telling(1, 1, (), True), words.AskOurs(1),
-        words.AskHolders(1, 0, 1, 0), words.Answer(1, 1, 0, ()), words.Begun(1), words.Lending(1, 1, 1, ()),
-        words.Ping(1, 1, 0), words.Ack(1, 1, 0, (), 1), words.Via(1, 1, 0, (), 1), words.AskNews(1),
-        words.News(1, (), ()), words.Answer(1, 1, 0, (), True),
-        words.Telling(1, 1, (words.Rate(1, 4.0, words.Sample(1.0, 0)),), False),
+    said: list[words.Message] = [
+        words.RateUpdate(1, 1, (), False), words.RateUpdate(1, 1, (), True), words.InUseQuery(1),
+        words.HoldersQuery(1, 0, 1, 0), words.QueryReply(1, 1, 0, ()), words.FullUpdateRequest(1),
+        words.ShareLease(1, 1, 1, ()), words.Ping(1, 1, 0), words.Ack(1, 1, 0, (), 1),
+        words.PingRequest(1, 1, 0, (), 1), words.BootstrapRequest(1), words.BootstrapReply(1, (), ()),
+        words.QueryReply(1, 1, 0, (), True),
+        words.RateUpdate(1, 1, (words.ServerRate(1, 4.0, words.Sample(1.0, 0)),), False),
     ]  # fmt: skip
     assert [words.pack(word)[0][0] for word in said] == list(range(len(KINDS)))
 
@@ -57,20 +58,20 @@
 def test_nobody_is_dead_in_the_calm_and_the_dead_are() -> None:
     fleet = know_measure.Knowing(Course(12, 3, loss=0.0))
     fleet.start_all()
-    fleet.until(SECOND)
+    fleet.run_until(SECOND)
     fleet.acquaint()
-    fleet.until(30 * SECOND)
+    fleet.run_until(30 * SECOND)
     assert fleet.most_wrong == 0
     assert by_name(know_measure.play(12, "calm", 3))["know.wrong"] == 0  # with one word in a hundred lost
     fleet.stop(fleet.nodes[5])
-    fleet.until(60 * SECOND)
+    fleet.run_until(60 * SECOND)
     assert all(fleet.dead[node.number] == {5} for node in fleet.up())
 
 
 def test_what_is_not_reached_says_so() -> None:
     fleet = know_measure.Knowing(Course(12, 3))
     fleet.start_all()
-    fleet.until(SECOND)
+    fleet.run_until(SECOND)
     fleet.expect([{1} if number != 1 else set() for number in range(12)], True)
     fleet.wait(2 * SECOND)  # it lives: nobody takes it for dead
     told = fleet.told("dead", "one")
@@ -98,7 +99,7 @@
 def test_sessions_of_viewers_who_leave_are_let_go() -> None:
     fleet = VirtualFleet(Course(4, 9, 0.0, 12, 3.0, 0.9))
     fleet.start_all()
-    fleet.until(40 * SECOND)
+    fleet.run_until(40 * SECOND)
     held = sum(len(node.core.front.sessions) for node in fleet.nodes)
     assert fleet.answered["left"] > 200
     # One in ten stays for a minute; those that leave hold nothing
--- a/tests/following/test_front.py
+++ b/tests/following/test_front.py
@@ -13,7 +13,7 @@
 from ponddoor.front.engine import Engine
 from ponddoor.front.follower import Follower
 from ponddoor.front.following import Following
-from ponddoor.front.limits import Gate, LagMeter
+from ponddoor.front.limits import AdmissionGate, LagMeter
 from ponddoor.front.process import FrontProcess
 from ponddoor.front.trace import replay
 from ponddoor.interface import events as ev
@@ -24,7 +24,7 @@
 from ponddoor.web.server import Bounds, Reply, Request, Server
 from tests.config.test_api import FIRST, put, served
 from tests.front.conftest import site_text
-from tests.front.test_engine import ASK
+from tests.front.test_engine import REQUEST
 
 from .conftest import Fleet, fleet, follow_of
 
@@ -55,7 +55,7 @@
         open_one = asyncio.create_task(world.ask())
         await world.until(lambda: world.seen("setup"))
         await made.change({"groups/clips": CLIPS[:-1] + " (top 0))", "ladder": LOW})
-        [held] = front.engine._held.values()
+        [held] = front.engine._sessions.values()
         assert (held.group.top, len(held.ladder.rate_kb)) == (2, 3)
         for media in world.media:
             media.awake.set()
@@ -175,7 +175,7 @@
 
     lived(live, tmp_path)
     found = replay(path)
-    assert (found.different, found.first) == (0, "") and found.events["NewTerms"] >= 1
+    assert (found.different, found.first_difference) == (0, "") and found.events["NewTerms"] >= 1
 
 
 # What is refused
@@ -210,7 +210,7 @@
         following = made.world.fronts[0].following
         assert following is not None
         core = following.follower
-        await made.world.until(lambda: core.refused[0] == bad and core.keeping is None)
+        await made.world.until(lambda: core.refused[0] == bad and core.pending_write is None)
         front = await made.again()
         assert (front.terms.version, front.engine.facts.rules.cold) == (bad, 3_000_000)
 
@@ -218,7 +218,7 @@
 
 
 def base() -> taking.Terms:
-    return taking.begun(loads(site_text(ports=[1, 2, 3], list_port=9)))
+    return taking.initial_terms(loads(site_text(ports=[1, 2, 3], list_port=9)))
 
 
 @pytest.mark.parametrize(
@@ -241,7 +241,7 @@
 def test_what_a_front_in_service_does_not_take(old: str, new: str, why: str) -> None:
     text = site_text(ports=[1, 2, 3], list_port=9)
     assert text.count(old) == 1
-    [found] = taking.unusable(base(), loads(text.replace(old, new)))
+    [found] = taking.reasons_against(base(), loads(text.replace(old, new)))
     assert why in found
 
 
@@ -249,23 +249,23 @@
     own, text = loads(site_text(ports=[1, 2, 3], list_port=9)), site_text(ports=[4, 5, 6], list_port=8)
     elsewhere = text.replace("(zone north)", "(zone south)")
     version = loads(elsewhere.replace("(zones north)", "(zones south north)"))
-    assert taking.unusable_at_start(own, version) == ()
-    site = taking.at_start(own, version)
+    assert taking.reasons_against_start(own, version) == ()
+    site = taking.site_at_start(own, version)
     assert site.listing == own.listing and site.fronts[0].viewers == own.fronts[0].viewers
     assert site.zones[site.fronts[0].zone] == "north" and site.facts_of(0, 1).zone == 1
     missing = loads(elsewhere.replace("(zones north)", "(zones south)"))
-    assert "north" in taking.unusable_at_start(own, missing)[0]
+    assert "north" in taking.reasons_against_start(own, missing)[0]
 
 
 def test_numbers_have_a_bound(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(taking, "MOST_NUMBERS", 2)
+    monkeypatch.setattr(taking, "MAX_NUMBERS", 2)
     terms, text = base(), site_text(ports=[1, 2, 3], list_port=9)
     for number, fits in ((1, True), (2, False), (1, True)):
         name = f"g{number}"
         version = loads(text.replace("(group clips", f"(group {name}"))
-        assert (taking.unusable(terms, version) == ()) is fits
+        assert (taking.reasons_against(terms, version) == ()) is fits
         if fits:
-            terms = taking.taken(terms, version, number, "")
+            terms = taking.updated_terms(terms, version, number, "")
             assert terms.groups == {name: 1}
 
 
@@ -274,15 +274,15 @@
     three = "(rung (rate 300kB/s) (utility 0.7))\n    (rung (rate 900kB/s) (utility 1))"
     site = loads(site_text(ports=[1, 2, 3], list_port=9).replace(three, ""))
     facts = site.facts_of(0, 1)
-    engine = Engine(Front(facts, 0), facts, Gate(site.limits, LagMeter(1 << 60)))
+    engine = Engine(Front(facts, 0), facts, AdmissionGate(site.limits, LagMeter(1 << 60)))
     row = ev.ServerRow(1, 0, 0, 0, ev.ServerState.READY, 2.0, 0)
-    engine.news(0, ev.NewsScope.CACHED, (row,))
+    engine.server_news(0, ev.NewsScope.CACHED, (row,))
     now = 20_000_000
-    engine.request(now, "a", replace(ASK, top=0), None)
+    engine.request(now, "a", replace(REQUEST, top=0), None)
     engine.setup_answered(now, "a", 0, 1, None, {}, {"link": 0.1})
     while (due := engine.next_due) is not None and due < now + 10_000_000:
-        engine.due(max(due, now))
-    assert engine.counts.faults == 0 and engine.held == 1
+        engine.run_due_timers(max(due, now))
+    assert engine.counts.faults == 0 and engine.sessions_held == 1
 
 
 # Never back
@@ -359,7 +359,7 @@
             await made.lose(number)
         assert front.following is not None
         core = front.following.follower
-        await world.until(lambda: core.apart_since is not None and core.home == left, 15)
+        await world.until(lambda: core.apart_since is not None and core.return_instance == left, 15)
         reports = made.instances.made[left].reports.held
         await world.until(lambda: 0 in reports and reports[0][0].apart_ms > 0, 15)
         assert front.terms.version == version and (await world.ask()).json()["state"] == "playing"
--- a/tests/soak/mutants.py
+++ b/tests/soak/mutants.py
@@ -44,7 +44,7 @@
 def closes_without_answers() -> None:
     """Open set-ups are dropped with their connections at the end."""
     Viewers.answer_all = lambda self: None  # type: ignore[method-assign]
-    Viewers.answer_now = lambda self, session, why: None  # type: ignore[method-assign]
+    Viewers.answer_now = lambda self, session, reason: None  # type: ignore[method-assign]
 
 
 def writes_a_release_once() -> None:
@@ -73,7 +73,7 @@
         if connection is not None and answer.kind == "playing":
             from ponddoor.node import viewer_codec
 
-            connection.write(viewer_codec.stands(session, answer.passed))
+            connection.write(viewer_codec.encode_playing(session, answer.viewer_text))
 
     Viewers._reply = twice  # type: ignore[method-assign]
 
@@ -85,7 +85,7 @@
 
 def asks_seldom() -> None:
     """The list is asked once in half a minute."""
-    ReconnectSchedule._next_in_period = lambda self, now, stay_away: now + 30_000_000  # type: ignore[method-assign]
+    ReconnectSchedule._next_in_period = lambda self, now, min_wait: now + 30_000_000  # type: ignore[method-assign]
 
 
 def sends_for_clients_that_left() -> None:
