--- a/tests/following/test_days.py
+++ b/tests/following/test_days.py
@@ -1,4 +1,4 @@
-"""Rehearses a day on which fronts follow configuration instances under faults, and tests the audit of such days.
+"""Rehearses a day on which fronts follow config instances under faults, and tests the audit of such days.
 
 Fronts and instances are processes. The day is judged by counts and by its audit, never by a time that only a
 fast machine meets."""
