--- a/tests/following/test_front.py
+++ b/tests/following/test_front.py
@@ -231,8 +231,8 @@
     run_scenario(scenario, tmp_path)
 
 
-def initial_terms() -> taking.Terms:
-    return taking.begun(loads(site_text(ports=[1, 2, 3], list_port=9)))
+def site_terms() -> taking.Terms:
+    return taking.initial_terms(loads(site_text(ports=[1, 2, 3], list_port=9)))
 
 
 @pytest.mark.parametrize(
@@ -255,7 +255,7 @@
 def test_a_change_that_needs_a_restart_is_reported_with_its_reason(old: str, new: str, reason: str) -> None:
     text = site_text(ports=[1, 2, 3], list_port=9)
     assert text.count(old) == 1
-    [problem] = taking.unusable(initial_terms(), loads(text.replace(old, new)))
+    [problem] = taking.reasons_against(site_terms(), loads(text.replace(old, new)))
     assert reason in problem
 
 
@@ -263,23 +263,23 @@
     own, text = loads(site_text(ports=[1, 2, 3], list_port=9)), site_text(ports=[4, 5, 6], list_port=8)
     elsewhere = text.replace("(zone north)", "(zone south)")
     version = loads(elsewhere.replace("(zones north)", "(zones south north)"))
-    assert taking.unusable_at_start(own, version) == ()
-    site = taking.at_start(own, version)
+    assert taking.reasons_against_start(own, version) == ()
+    site = taking.site_at_start(own, version)
     assert site.listing == own.listing and site.fronts[0].viewers == own.fronts[0].viewers
     assert site.zones[site.fronts[0].zone] == "north" and site.facts_of(0, 1).zone == 1
     missing = loads(elsewhere.replace("(zones north)", "(zones south)"))
-    assert "north" in taking.unusable_at_start(own, missing)[0]
+    assert "north" in taking.reasons_against_start(own, missing)[0]
 
 
 def test_the_number_of_group_numbers_ever_used_is_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(taking, "MOST_NUMBERS", 2)
-    terms, text = initial_terms(), site_text(ports=[1, 2, 3], list_port=9)
+    monkeypatch.setattr(taking, "MAX_NUMBERS", 2)
+    terms, text = site_terms(), site_text(ports=[1, 2, 3], list_port=9)
     for number, fits in ((1, True), (2, False), (1, True)):
         name = f"g{number}"
         version = loads(text.replace("(group clips", f"(group {name}"))
-        assert (taking.unusable(terms, version) == ()) is fits
+        assert (taking.reasons_against(terms, version) == ()) is fits
         if fits:
-            terms = taking.taken(terms, version, number, "")
+            terms = taking.updated_terms(terms, version, number, "")
             assert terms.groups == {name: 1}
 
 
