--- a/ponddoor/front/hinting.py
+++ b/ponddoor/front/hinting.py
@@ -40,7 +40,7 @@
         read = self._read(request, body)
         if not read.values:
             return None
-        return self.intake.asked(self.clock(), *self._source(viewer_request), read.values)
+        return self.intake.accept_request_hints(self.clock(), *self._source(viewer_request), read.values)
 
     def take_reports(self, sess: str, request: Request) -> int:
         """Handles a player's reports on its session. Returns how many were accepted. Raises HttpError 415."""
@@ -48,7 +48,7 @@
         now = self.clock()
         if media_type == cmcd.REPORTS:
             reports, read = cmcd.read_reports(request.body)
-            self.intake.lost(read.lost)
+            self.intake.count_lost(read.lost)
         elif media_type in ("", "application/json"):
             body = decoded(request.body, dict[str, Any]) if request.body else None
             reports = [self._read(request, body).values]
@@ -64,13 +64,13 @@
     def _read(self, request: Request, body: dict[str, Any] | None) -> Read:
         """Reads the hints on a request from its headers, query and body."""
         read = cmcd.read_request(request.headers, request.query.get(cmcd.ARGUMENT, ""), body)
-        self.intake.lost(read.lost)
+        self.intake.count_lost(read.lost)
         return read
 
     def _take_player_hint(self, now: int, sess: str, values: Values, age_us: int, origin: str) -> bool:
         """Passes a player's hint to the engine. Returns whether it was accepted."""
         self._update_session(now, sess)
-        means = self.intake.told(now, sess, values, age_us, origin)
+        means = self.intake.accept_session_hints(now, sess, values, age_us, origin)
         if means is not None:
             self.apply(lambda engine_now: self.engine.player_hint(engine_now, sess, means))
         return means is not None
@@ -79,9 +79,11 @@
         """Tells the intake the state of a session that a hint is about."""
         record = self.engine.find(sess)
         if record is None or record.phase is not Phase.PLAYING:
-            self.intake.over(sess)
+            self.intake.remove_session(sess)
         else:
-            self.intake.playing(now, sess, *self._source(record.request), record.server, record.rate_kb)
+            self.intake.update_session(
+                now, sess, *self._source(record.request), record.server, record.rate_kb
+            )
 
     def _source(self, viewer_request: ViewerRequest) -> tuple[str, str]:
         """The viewer and the tenant whose trust applies to a session's hints; each empty if not given."""
@@ -91,7 +93,7 @@
         ].name if tenants else ""
 
     def session_ended(self, sess: str) -> None:
-        self.intake.over(sess)
+        self.intake.remove_session(sess)
 
     # From servers
 
@@ -109,13 +111,13 @@
             return
         now = self.clock()
         read = cmcd.read_headers(headers)
-        self.intake.lost(read.lost)
+        self.intake.count_lost(read.lost)
         if received_kb > 0:
             self._update_session(now, sess)
             hops, dynamic_read = cmsd.read_dynamic(dynamic)
-            self.intake.lost(dynamic_read.lost)
+            self.intake.count_lost(dynamic_read.lost)
             offered = hops[-1].values.get("etp", 0) if hops else 0
-            self.intake.took(now - age_us, sess, received_kb, offered * KB_PER_KBIT)
+            self.intake.record_session_rate(now - age_us, sess, received_kb, offered * KB_PER_KBIT)
         if read.values:
             self._take_player_hint(now, sess, read.values, age_us, "passed-on")
 
@@ -124,28 +126,28 @@
         hops, read = cmsd.read_dynamic(dynamic)
         static_read = cmsd.read_static(static)
         read.take(static_read)
-        self.intake.lost(read.lost)
+        self.intake.count_lost(read.lost)
         if not hops:
             return
         values = hops[-1].values | {
             name: static_read.values[name] for name in ("ht",) if name in static_read.values
         }
-        hint = self.intake.server_said(self.clock(), server, values, age_us)
+        hint = self.intake.accept_server_hints(self.clock(), server, values, age_us)
         if hint is not None:
             self.servers[server] = hint
             self.apply(lambda now: self.engine.server_hint(now, hint))
 
     def server_delivered(self, server: int, share: float) -> None:
         """Handles the delivered share that a server reports."""
-        self.intake.measured(self.clock(), server, share)
+        self.intake.record_server_share(self.clock(), server, share)
 
     def server_alive(self, server: int) -> None:
         """Handles a note without a share: the server is taken to deliver the last known share still."""
         source = self.intake.servers.get(server)
-        self.intake.measured(self.clock(), server, source.share if source is not None else 1.0)
+        self.intake.record_server_share(self.clock(), server, source.share if source is not None else 1.0)
 
     def server_gone(self, server: int) -> None:
-        self.intake.gone(server)
+        self.intake.remove_server(server)
         self.servers.pop(server, None)
 
     # To players
--- a/ponddoor/hints/intake.py
+++ b/ponddoor/hints/intake.py
@@ -75,14 +75,16 @@
     def count(self, what: str, times: int = 1) -> None:
         self.counts[what] = self.counts.get(what, 0) + times
 
-    def lost(self, reasons: dict[str, int]) -> None:
+    def count_lost(self, reasons: dict[str, int]) -> None:
         """What a codec could not use, by its reasons."""
         for why, times in reasons.items():
             self.count(f"lost {why}", times)
 
     # Sessions
 
-    def playing(self, now: int, sess: str, viewer: str, tenant: str, server: int, rate_kb: float) -> None:
+    def update_session(
+        self, now: int, sess: str, viewer: str, tenant: str, server: int, rate_kb: float
+    ) -> None:
         """A session plays at a server, at the rate of its rung in kB a second."""
         held = self.sessions.pop(sess, None)
         if held is None:
@@ -94,10 +96,10 @@
             self.sessions.popitem(last=False)
             self.count("sessions-forgotten")
 
-    def over(self, sess: str) -> None:
+    def remove_session(self, sess: str) -> None:
         self.sessions.pop(sess, None)
 
-    def asked(self, now: int, viewer: str, tenant: str, values: Values) -> Means | None:
+    def accept_request_hints(self, now: int, viewer: str, tenant: str, values: Values) -> Means | None:
         """The hints on a request for a session."""
         if not values or not self._admit(now):
             return None
@@ -107,7 +109,9 @@
         self.count("taken on-request")
         return means
 
-    def told(self, now: int, sess: str, values: Values, age: int = 0, origin: str = "report") -> Means | None:
+    def accept_session_hints(
+        self, now: int, sess: str, values: Values, age: int = 0, origin: str = "report"
+    ) -> Means | None:
         """Hints of a session that plays: from its player's reports, or passed on by its server."""
         held = self.sessions.get(sess)
         if held is None:
@@ -209,23 +213,23 @@
 
     # Servers
 
-    def measured(self, now: int, server: int, share: float) -> None:
+    def record_server_share(self, now: int, server: int, share: float) -> None:
         """A server's share as delivered, by the notes or by what its streams get."""
         held = self.servers.setdefault(server, Measured())
         held.share, held.at = share, now
         if share < SHORT:
             held.short_at = now
 
-    def took(self, now: int, sess: str, rate_kb: float, offered_kb: float = 0.0) -> None:
+    def record_session_rate(self, now: int, sess: str, rate_kb: float, offered_kb: float = 0.0) -> None:
         """What a server saw a session take, and could have given, in kB a second while it fetched."""
         held = self.sessions.get(sess)
         if held is not None:
             held.gets_kb, held.offered_kb, held.gets_at = rate_kb, offered_kb, now
 
-    def gone(self, server: int) -> None:
+    def remove_server(self, server: int) -> None:
         self.servers.pop(server, None)
 
-    def server_said(self, now: int, server: int, values: Values, age: int) -> ServerHint | None:
+    def accept_server_hints(self, now: int, server: int, values: Values, age: int) -> ServerHint | None:
         """A server's own entry in CMSD-Dynamic, and the held time of CMSD-Static."""
         held, source = self.servers.setdefault(server, Measured()), ("server", str(server))
         if not -AHEAD <= age <= OLDEST:
--- a/ponddoor/load/hints.py
+++ b/ponddoor/load/hints.py
@@ -52,12 +52,12 @@
         ),
     )
     driver = _playing(facts)
-    intake.playing(0, "s", "v", "t", 1, 200.0)
+    intake.update_session(0, "s", "v", "t", 1, 200.0)
 
     def take(number: int) -> object:
         now = (number + 10) * SECOND
-        intake.measured(now, 1, 1.0)
-        return intake.told(now, "s", HINTS)
+        intake.record_server_share(now, 1, 1.0)
+        return intake.accept_session_hints(now, "s", HINTS)
 
     def apply(number: int) -> object:
         now = 11 * SECOND + number
--- a/tests/hints/test_intake.py
+++ b/tests/hints/test_intake.py
@@ -17,19 +17,19 @@
 
     def __init__(self) -> None:
         self.intake, self.now = Intake(), NOW
-        self.intake.playing(self.now, "x", "v", "t", 1, 200.0)
+        self.intake.update_session(self.now, "x", "v", "t", 1, 200.0)
         self.later(5)
 
     def later(self, seconds: float, share: float | None = 1.0) -> None:
         self.now += round(seconds * SECOND)
         if share is not None:
-            self.intake.measured(self.now, 1, share)
+            self.intake.record_server_share(self.now, 1, share)
 
     def told(self, sess: str = "x", age: int = 0, origin: str = "report", **values: Any) -> Means | None:
-        return self.intake.told(self.now, sess, values, age, origin)
+        return self.intake.accept_session_hints(self.now, sess, values, age, origin)
 
     def said(self, age: int = 0, **values: Any) -> ServerHint | None:
-        return self.intake.server_said(self.now, 1, values, age)
+        return self.intake.accept_server_hints(self.now, 1, values, age)
 
     def count(self, what: str) -> int:
         return self.intake.counts.get(what, 0)
@@ -41,7 +41,7 @@
 
 
 def test_units_become_ours(desk: Desk) -> None:
-    desk.intake.took(desk.now, "x", 1000.0, 2000.0)
+    desk.intake.record_session_rate(desk.now, "x", 1000.0, 2000.0)
     got = desk.told(mtp=8000, tb=4000, rtp=16_000, bl=2500, dl=900, bs=False)
     assert got == Means(desk.now, 1000.0, 500.0, 2_500_000, 900_000, False)
     desk.later(6, share=None)
@@ -72,7 +72,7 @@
 def test_hints_of_nobody_and_of_another_session_are_dropped(desk: Desk) -> None:
     assert desk.told(sess="y", mtp=800) is None
     assert desk.told(origin="passed-on", sid="other", mtp=800) is None
-    desk.intake.over("x")
+    desk.intake.remove_session("x")
     assert desk.told(mtp=800) is None
     assert desk.count("dropped no-such-session") == 2 and desk.count("dropped other-session") == 1
 
@@ -81,7 +81,7 @@
     taken = 0
     for number in range(3000):
         desk.now += 100
-        desk.intake.playing(desk.now, f"s{number}", "", "", 1, 200.0)
+        desk.intake.update_session(desk.now, f"s{number}", "", "", 1, 200.0)
         taken += desk.told(sess=f"s{number}", mtp=800) is not None
     assert taken == STORM and desk.count("dropped storm") == 1000
     desk.later(2)
@@ -94,7 +94,7 @@
 def test_the_tables_are_bounded() -> None:
     intake = Intake(Trust(most=3), most=2)
     for number in range(5):
-        intake.playing(NOW, f"s{number}", "", "", 1, 1.0)
+        intake.update_session(NOW, f"s{number}", "", "", 1, 1.0)
         intake.trust.judge(("viewer", str(number)), False)
     assert list(intake.sessions) == ["s3", "s4"] and intake.counts["sessions-forgotten"] == 3
     assert len(intake.trust.verdicts) == 3 and intake.trust.forgotten == 2
@@ -123,7 +123,7 @@
 
 
 def test_less_than_its_server_saw_it_take(desk: Desk) -> None:
-    desk.intake.took(desk.now, "x", 400.0)
+    desk.intake.record_session_rate(desk.now, "x", 400.0)
     assert desk.told(mtp=8 * 250) is None and desk.count("contradicted less-than-delivered") == 1
     for _ in range(4):
         desk.later(0.6)
@@ -137,7 +137,7 @@
     def heard(mtp: int, gets: float = 0.0, offered: float = 0.0) -> float | None:
         desk.later(1)
         if gets:
-            desk.intake.took(desk.now, "x", gets, offered)
+            desk.intake.record_session_rate(desk.now, "x", gets, offered)
         got = desk.told(mtp=mtp)
         assert got is not None
         return got.throughput_kb
@@ -157,21 +157,21 @@
     desk.later(6, share=None)
     assert desk.told(bs=True, bl=9000) is not None
     desk.later(1)
-    desk.intake.playing(desk.now, "x", "v", "t", 1, 400.0)  # a new rung: shares say little yet
+    desk.intake.update_session(desk.now, "x", "v", "t", 1, 400.0)  # a new rung: shares say little yet
     assert desk.told(bs=True, bl=9000) is not None
 
 
 def test_a_tenant_that_lies_is_disbelieved_as_a_whole_and_its_neighbour_is_not(desk: Desk) -> None:
     for number in range(20):
-        desk.intake.playing(desk.now, f"l{number}", f"l{number}", "liar", 1, 200.0)
-    desk.intake.playing(desk.now, "fresh", "fresh", "liar", 1, 200.0)
+        desk.intake.update_session(desk.now, f"l{number}", f"l{number}", "liar", 1, 200.0)
+    desk.intake.update_session(desk.now, "fresh", "fresh", "liar", 1, 200.0)
     desk.later(3)
     for number in range(20):
         desk.told(sess=f"l{number}", bs=True)
     assert desk.told(sess="fresh", mtp=8000) is None and desk.count("disbelieved tenant") == 1
     assert desk.told(mtp=8000) is not None
-    assert desk.intake.asked(desk.now, "new", "liar", {"mtp": 800}) is None
-    assert desk.intake.asked(desk.now, "new", "t", {"mtp": 800}) == Means(desk.now, 100.0)
+    assert desk.intake.accept_request_hints(desk.now, "new", "liar", {"mtp": 800}) is None
+    assert desk.intake.accept_request_hints(desk.now, "new", "t", {"mtp": 800}) == Means(desk.now, 100.0)
 
 
 def test_a_server_at_ease_while_its_share_is_short(desk: Desk) -> None:
@@ -194,8 +194,8 @@
         desk.later(1)
         last = desk.said(du=True)
     assert last is None and desk.count("contradicted duress-at-full-share") == 3
-    desk.intake.gone(1)
-    assert desk.intake.server_said(desk.now, 1, {"du": True}, 0) is None  # its name is still doubted
+    desk.intake.remove_server(1)
+    assert desk.intake.accept_server_hints(desk.now, 1, {"du": True}, 0) is None  # its name is still doubted
 
 
 def test_a_server_whose_clock_stands_still_is_not_heard_twice(desk: Desk) -> None:
