--- a/ponddoor/front/process.py
+++ b/ponddoor/front/process.py
@@ -464,7 +464,7 @@
             intake = self.hinting.intake
             yield "counter", "hints", "Hints, by what became of them.", "what", _floats(intake.counts)
             doubted: dict[str, int] = {}
-            for kind, _ in intake.trust.doubted():
+            for kind, _ in intake.trust.untrusted_sources():
                 doubted[kind] = doubted.get(kind, 0) + 1
             yield "gauge", "hint_sources_doubted", "Sources not believed now.", "kind", _floats(doubted)
         yield (
--- a/ponddoor/hints/trust.py
+++ b/ponddoor/hints/trust.py
@@ -44,6 +44,6 @@
         held, lenience = self.verdicts.get(source, []), LENIENCE[source[0]]
         return len(held) < lenience.least or held.count(False) <= lenience.part * len(held)
 
-    def doubted(self) -> list[Source]:
+    def untrusted_sources(self) -> list[Source]:
         """Who is not believed now, for operators."""
         return [source for source in self.verdicts if not self.believed(source)]
--- a/tests/hints/test_intake.py
+++ b/tests/hints/test_intake.py
@@ -105,13 +105,13 @@
         desk.later(1)
         assert desk.told(bs=True, bl=200) is None  # all is delivered: the measured share wins
     assert desk.count("contradicted starved-at-full-share") == 4
-    assert ("viewer", "t/v") in desk.intake.trust.doubted()
+    assert ("viewer", "t/v") in desk.intake.trust.untrusted_sources()
     desk.later(1)
     assert desk.told(mtp=8000) is None and desk.count("disbelieved viewer") == 1
     for _ in range(8):
         desk.later(1)
         last = desk.told(mtp=8000)
-    assert last is not None and desk.intake.trust.doubted() == []
+    assert last is not None and desk.intake.trust.untrusted_sources() == []
 
 
 def test_starving_is_believed_where_the_share_was_short(desk: Desk) -> None:
