--- a/ponddoor/front/hinting.py
+++ b/ponddoor/front/hinting.py
@@ -7,7 +7,7 @@
 from ponddoor.front.effects import Effect, ViewerRequest
 from ponddoor.front.engine import Engine, Phase, SessionRecord
 from ponddoor.hints import cmcd, cmsd
-from ponddoor.hints.fields import Read, Values
+from ponddoor.hints.fields import ReadResult, Values
 from ponddoor.hints.intake import KB_PER_KBIT, Intake
 from ponddoor.interface.events import Means, ServerHint
 from ponddoor.settings.site import Site
@@ -61,7 +61,7 @@
             for values, age_us in _reports_with_age(reports)
         )
 
-    def _read(self, request: Request, body: dict[str, Any] | None) -> Read:
+    def _read(self, request: Request, body: dict[str, Any] | None) -> ReadResult:
         """Reads the hints on a request from its headers, query and body."""
         read = cmcd.read_request(request.headers, request.query.get(cmcd.ARGUMENT, ""), body)
         self.intake.count_lost(read.lost)
@@ -125,7 +125,7 @@
         """Handles a server's CMSD. Its last entry is the server's own, as that of the hop nearest to us."""
         hops, read = cmsd.read_dynamic(dynamic)
         static_read = cmsd.read_static(static)
-        read.take(static_read)
+        read.merge(static_read)
         self.intake.count_lost(read.lost)
         if not hops:
             return
--- a/ponddoor/hints/cmcd.py
+++ b/ponddoor/hints/cmcd.py
@@ -8,7 +8,7 @@
 import msgspec
 from http_sf import Token
 
-from ponddoor.hints.fields import Bounds, Read, Typed, Values, check, read_dictionary, rounded, written
+from ponddoor.hints.fields import Bounds, ReadResult, Typed, Values, check, read_dictionary, rounded, written
 from ponddoor.hints.keys import CMCD, Group
 
 HEADERS = (Group.OBJECT, Group.REQUEST, Group.SESSION, Group.STATUS)
@@ -18,9 +18,9 @@
 BOUNDS = Bounds()
 
 
-def read_headers(headers: Mapping[str, str], bounds: Bounds = BOUNDS) -> Read:
+def read_headers(headers: Mapping[str, str], bounds: Bounds = BOUNDS) -> ReadResult:
     """The four headers (names in lower case). A key in the wrong header is kept and counted: proxies fold."""
-    read = Read()
+    read = ReadResult()
     for group in HEADERS:
         text = headers.get(group.value.lower())
         if text is None:
@@ -29,18 +29,18 @@
         for name in part.values:
             if name in CMCD and CMCD[name].group is not group:
                 part.lose("wrong-header")
-        read.take(part)
+        read.merge(part)
     return read
 
 
-def read_argument(text: str, bounds: Bounds = BOUNDS) -> Read:
+def read_argument(text: str, bounds: Bounds = BOUNDS) -> ReadResult:
     """The value of the argument `CMCD`, its percent coding undone."""
     return read_dictionary(text, CMCD, bounds)
 
 
-def read_query(query: str, bounds: Bounds = BOUNDS) -> Read:
+def read_query(query: str, bounds: Bounds = BOUNDS) -> ReadResult:
     """The argument `CMCD` of a query string, still in its percent coding."""
-    read = Read()
+    read = ReadResult()
     if len(query) > 3 * bounds.characters:
         read.lose("too-long")
         return read
@@ -50,15 +50,15 @@
         read.lose("malformed-query")
         return read
     for text in found[:1]:
-        read.take(read_argument(text, bounds))
+        read.merge(read_argument(text, bounds))
     if len(found) > 1:
         read.lose("argument-twice", len(found) - 1)
     return read
 
 
-def read_json(text: bytes, bounds: Bounds = BOUNDS) -> Read:
+def read_json(text: bytes, bounds: Bounds = BOUNDS) -> ReadResult:
     """A JSON object: booleans, numbers and strings; tokens are strings there."""
-    read = Read()
+    read = ReadResult()
     if len(text) > bounds.characters:
         read.lose("too-long")
         return read
@@ -70,9 +70,9 @@
     return read_members(members, bounds)
 
 
-def read_members(members: object, bounds: Bounds = BOUNDS) -> Read:
+def read_members(members: object, bounds: Bounds = BOUNDS) -> ReadResult:
     """The same of a JSON object that is decoded already. Members of lists are values, or {"value", "of"}."""
-    read = Read()
+    read = ReadResult()
     if not isinstance(members, dict):
         read.lose("malformed-json")
         return read
@@ -93,12 +93,12 @@
 
 def read_request(
     headers: Mapping[str, str], argument: str = "", body: object = None, bounds: Bounds = BOUNDS
-) -> Read:
+) -> ReadResult:
     """All that a request carries. Where two carriers disagree on a key, the key is lost."""
     parts = [read_headers(headers, bounds), read_argument(argument, bounds)]
     if body is not None:
         parts.append(read_members(body, bounds))
-    whole, disputed = Read(), set[str]()
+    whole, disputed = ReadResult(), set[str]()
     for part in parts:
         for name, value in part.values.items():
             if whole.values.setdefault(name, value) != value:
@@ -111,9 +111,11 @@
     return whole
 
 
-def read_reports(text: bytes, bounds: Bounds = BOUNDS, most: int = MOST_REPORTS) -> tuple[list[Values], Read]:
+def read_reports(
+    text: bytes, bounds: Bounds = BOUNDS, most: int = MOST_REPORTS
+) -> tuple[list[Values], ReadResult]:
     """A batch of reports of version 2, one a line: the reports with an event, and what was lost."""
-    all_of, reports = Read(), list[Values]()
+    all_of, reports = ReadResult(), list[Values]()
     try:
         lines = text.decode("ascii").splitlines()
     except UnicodeDecodeError:
--- a/ponddoor/hints/cmsd.py
+++ b/ponddoor/hints/cmsd.py
@@ -5,7 +5,7 @@
 import http_sf
 from http_sf import StructuredFieldError
 
-from ponddoor.hints.fields import Bounds, Read, Values, check, parsed, read_dictionary, written
+from ponddoor.hints.fields import Bounds, ReadResult, Values, check, parsed, read_dictionary, written
 from ponddoor.hints.keys import CMSD_DYNAMIC, CMSD_STATIC, LONGEST_TEXT
 
 STATIC, DYNAMIC = "CMSD-Static", "CMSD-Dynamic"
@@ -21,7 +21,7 @@
     values: Values = field(default_factory=dict)
 
 
-def read_static(text: str, bounds: Bounds = BOUNDS) -> Read:
+def read_static(text: str, bounds: Bounds = BOUNDS) -> ReadResult:
     return read_dictionary(text, CMSD_STATIC, bounds)
 
 
@@ -30,9 +30,9 @@
     return ",".join(written(values, CMSD_STATIC).values())
 
 
-def read_dynamic(text: str, bounds: Bounds = BOUNDS) -> tuple[list[Hop], Read]:
+def read_dynamic(text: str, bounds: Bounds = BOUNDS) -> tuple[list[Hop], ReadResult]:
     """The intermediaries in order, and what was lost. An entry without a name costs that entry."""
-    read, hops = Read(), list[Hop]()
+    read, hops = ReadResult(), list[Hop]()
     members = parsed(text, "list", bounds, read)
     for number, member in enumerate(members or []):
         if number >= MOST_HOPS:
@@ -42,7 +42,7 @@
         if not isinstance(name, str) or isinstance(name, http_sf.Token) or not 0 < len(name) <= LONGEST_TEXT:
             read.lose("malformed-hop")
             continue
-        inner = Read()
+        inner = ReadResult()
         check(about, CMSD_DYNAMIC, bounds, inner)
         for why, times in inner.lost.items():
             read.lose(why, times)
--- a/ponddoor/hints/fields.py
+++ b/ponddoor/hints/fields.py
@@ -42,7 +42,7 @@
 
 
 @dataclass(slots=True)
-class Read:
+class ReadResult:
     """What a carrier held: values by key, and how often what was lost, by reason."""
 
     values: Values = field(default_factory=dict)
@@ -51,7 +51,7 @@
     def lose(self, why: str, times: int = 1) -> None:
         self.lost[why] = self.lost.get(why, 0) + times
 
-    def take(self, other: "Read") -> None:
+    def merge(self, other: "ReadResult") -> None:
         """Add another part of the same carrier; a key that comes twice keeps its first value."""
         for name, value in other.values.items():
             if name in self.values:
@@ -67,16 +67,16 @@
     return "-" in name
 
 
-def read_dictionary(text: str, keys: Mapping[str, Key], bounds: Bounds) -> Read:
+def read_dictionary(text: str, keys: Mapping[str, Key], bounds: Bounds) -> ReadResult:
     """The dictionary in one header or query argument."""
-    read = Read()
+    read = ReadResult()
     members = parsed(text, "dictionary", bounds, read)
     if isinstance(members, dict):
         check(members, keys, bounds, read)
     return read
 
 
-def parsed(text: str, kind: str, bounds: Bounds, read: Read) -> Any:
+def parsed(text: str, kind: str, bounds: Bounds, read: ReadResult) -> Any:
     if not text.strip():
         return {} if kind == "dictionary" else []
     if len(text) > bounds.characters:
@@ -93,7 +93,7 @@
         return None
 
 
-def _salvaged(text: str, read: Read) -> dict[str, Any]:
+def _salvaged(text: str, read: ReadResult) -> dict[str, Any]:
     """The members of a dictionary one by one, so that a malformed one costs itself alone.
 
     Also where custom keys are in capitals, as CTA-5004 writes them though RFC 9651 has none."""
@@ -115,7 +115,7 @@
     return members
 
 
-def check(members: Mapping[str, Any], keys: Mapping[str, Key], bounds: Bounds, read: Read) -> None:
+def check(members: Mapping[str, Any], keys: Mapping[str, Key], bounds: Bounds, read: ReadResult) -> None:
     """Take each member that its key allows. Members are (value, parameters), a bare one, or lists of such."""
     for number, (name, member) in enumerate(members.items()):
         if number >= bounds.keys:
@@ -138,7 +138,7 @@
             read.values[name] = value
 
 
-def _value(key: Key, member: Any, read: Read) -> Value | None:
+def _value(key: Key, member: Any, read: ReadResult) -> Value | None:
     bare = member[0] if isinstance(member, tuple) else member
     if not isinstance(bare, list):
         return _bare(key, bare, read)
@@ -157,7 +157,7 @@
     return tuple(held) or None
 
 
-def _bare(key: Key, bare: Any, read: Read) -> Value | None:
+def _bare(key: Key, bare: Any, read: ReadResult) -> Value | None:
     """One bare item in the shape its key has, or None, counted."""
     why = "wrong-type"
     match key.kind:
