--- a/ponddoor/front/hinting.py
+++ b/ponddoor/front/hinting.py
@@ -46,7 +46,7 @@
         """Handles a player's reports on its session. Returns how many were accepted. Raises HttpError 415."""
         media_type = request.headers.get("content-type", "").partition(";")[0].strip().lower()
         now = self.clock()
-        if media_type == cmcd.REPORTS:
+        if media_type == cmcd.REPORT_MEDIA_TYPE:
             reports, read = cmcd.read_reports(request.body)
             self.intake.count_lost(read.lost)
         elif media_type in ("", "application/json"):
@@ -54,7 +54,7 @@
             reports = [self._read(request, body).values]
         else:
             raise HttpError(
-                415, "unknown-media-type", f"{media_type[:100]}: {cmcd.REPORTS} or application/json"
+                415, "unknown-media-type", f"{media_type[:100]}: {cmcd.REPORT_MEDIA_TYPE} or application/json"
             )
         return sum(
             self._take_player_hint(now, sess, values, age_us, "report")
@@ -63,7 +63,7 @@
 
     def _read(self, request: Request, body: dict[str, Any] | None) -> ReadResult:
         """Reads the hints on a request from its headers, query and body."""
-        read = cmcd.read_request(request.headers, request.query.get(cmcd.ARGUMENT, ""), body)
+        read = cmcd.read_request(request.headers, request.query.get(cmcd.QUERY_ARGUMENT, ""), body)
         self.intake.count_lost(read.lost)
         return read
 
--- a/ponddoor/hints/cmcd.py
+++ b/ponddoor/hints/cmcd.py
@@ -12,8 +12,8 @@
 from ponddoor.hints.keys import CMCD, Group
 
 HEADERS = (Group.OBJECT, Group.REQUEST, Group.SESSION, Group.STATUS)
-ARGUMENT = "CMCD"
-REPORTS = "application/cmcd"  # the media type of a batch of reports (version 2)
+QUERY_ARGUMENT = "CMCD"
+REPORT_MEDIA_TYPE = "application/cmcd"  # the media type of a batch of reports (version 2)
 MOST_REPORTS = 100
 BOUNDS = Bounds()
 
@@ -45,7 +45,7 @@
         read.lose("too-long")
         return read
     try:
-        found = parse_qs(query, max_num_fields=100, errors="strict").get(ARGUMENT, [])
+        found = parse_qs(query, max_num_fields=100, errors="strict").get(QUERY_ARGUMENT, [])
     except ValueError:
         read.lose("malformed-query")
         return read
@@ -147,7 +147,7 @@
 
 def write_query(values: Values) -> str:
     """The query argument, percent-coded. Raises ValueError."""
-    return f"{ARGUMENT}={quote(','.join(written(values, CMCD).values()), safe='')}"
+    return f"{QUERY_ARGUMENT}={quote(','.join(written(values, CMCD).values()), safe='')}"
 
 
 def write_json(values: Values) -> bytes:
--- a/ponddoor/standins/players.py
+++ b/ponddoor/standins/players.py
@@ -231,7 +231,7 @@
                     reported = now
                     with contextlib.suppress(NotSentError, BrokenError, LateError):
                         path = f"/sessions/{seen.sess}/hints"
-                        await front.request("POST", path, seen.report(), 1.0, kind=cmcd.REPORTS)
+                        await front.request("POST", path, seen.report(), 1.0, kind=cmcd.REPORT_MEDIA_TYPE)
                 chosen = seen.choose(self.in_force.get(seen.sess, rung))
                 path, headers = f"/segment/{seen.sess}?rung={chosen}", seen.headers() if hints else ()
                 begun = time.monotonic()
--- a/tests/front/test_hinting.py
+++ b/tests/front/test_hinting.py
@@ -71,7 +71,7 @@
         port = world.fronts[0].port
         pool = Pool("127.0.0.1", port, 2, 1.0)
 
-        async def report(text: bytes, kind: str = cmcd.REPORTS, session: object = sess) -> Answer:
+        async def report(text: bytes, kind: str = cmcd.REPORT_MEDIA_TYPE, session: object = sess) -> Answer:
             return await pool.request("POST", f"/sessions/{session}/hints", text, 3.0, kind=kind)
 
         batch = cmcd.write_reports([{"e": "t", "ts": 9_000, "tb": 900}, {"e": "ps", "ts": 5_000, "tb": 500}])
@@ -125,7 +125,9 @@
 
         async def send_reports() -> None:
             for _ in range(3):
-                answer = await pool.request("POST", f"/sessions/{sess}/hints", batch, 5.0, kind=cmcd.REPORTS)
+                answer = await pool.request(
+                    "POST", f"/sessions/{sess}/hints", batch, 5.0, kind=cmcd.REPORT_MEDIA_TYPE
+                )
                 assert answer.status == 200
 
         senders = [asyncio.create_task(send_reports()) for _ in range(20)]
