--- a/ponddoor/front/viewers.py
+++ b/ponddoor/front/viewers.py
@@ -265,7 +265,7 @@
     def _cmsd_headers(self, record: SessionRecord) -> tuple[tuple[str, str], ...]:
         if self.hinting is None or record.phase is not Phase.PLAYING:
             return ()
-        return ((cmsd.DYNAMIC, self.hinting.dynamic(record)),)
+        return ((cmsd.DYNAMIC_HEADER, self.hinting.dynamic(record)),)
 
     def _take_hints(self, record: SessionRecord, request: Request) -> Reply:
         if self.hinting is None:
--- a/ponddoor/hints/cmsd.py
+++ b/ponddoor/hints/cmsd.py
@@ -8,7 +8,7 @@
 from ponddoor.hints.fields import Bounds, ReadResult, Values, check, parsed, read_dictionary, written
 from ponddoor.hints.keys import CMSD_DYNAMIC, CMSD_STATIC, LONGEST_TEXT
 
-STATIC, DYNAMIC = "CMSD-Static", "CMSD-Dynamic"
+STATIC_HEADER, DYNAMIC_HEADER = "CMSD-Static", "CMSD-Dynamic"
 MOST_HOPS = 16
 BOUNDS = Bounds()
 
--- a/ponddoor/standins/media.py
+++ b/ponddoor/standins/media.py
@@ -320,8 +320,8 @@
         fixed = {"br": round(rate * 8), "d": 1000, "ot": "v", "st": "v", "ht": round(takes * 1000)}
         headers = (
             ("Content-Type", "video/mp4"),
-            (cmsd.STATIC, cmsd.write_static(fixed)),
-            (cmsd.DYNAMIC, dynamic),
+            (cmsd.STATIC_HEADER, cmsd.write_static(fixed)),
+            (cmsd.DYNAMIC_HEADER, dynamic),
         )
         return Reply(200, bytes(round(rate * 10)), headers)
 
