--- a/tests/hints/test_intake.py
+++ b/tests/hints/test_intake.py
@@ -5,7 +5,7 @@
 import pytest
 
 from ponddoor.hints.fields import Typed
-from ponddoor.hints.intake import OLDEST, SECOND, STORM, Intake
+from ponddoor.hints.intake import MAX_AGE_US, MAX_HINTS_PER_S, SECOND, Intake
 from ponddoor.hints.trust import Trust
 from ponddoor.interface.events import Means, ServerHint
 
@@ -54,7 +54,7 @@
     got = desk.told(age=2 * SECOND, tb=800)
     assert got is not None and got.taken == desk.now - 2 * SECOND
     assert desk.told(age=3 * SECOND, mtp=900) is None and desk.count("dropped overtaken") == 1
-    assert desk.told(age=OLDEST + 1, mtp=900) is None and desk.count("dropped too-old") == 1
+    assert desk.told(age=MAX_AGE_US + 1, mtp=900) is None and desk.count("dropped too-old") == 1
     assert desk.told(age=-2 * SECOND, mtp=900) is None and desk.count("dropped from-the-future") == 1
 
 
@@ -83,7 +83,7 @@
         desk.now += 100
         desk.intake.update_session(desk.now, f"s{number}", "", "", 1, 200.0)
         taken += desk.told(sess=f"s{number}", mtp=800) is not None
-    assert taken == STORM and desk.count("dropped storm") == 1000
+    assert taken == MAX_HINTS_PER_S and desk.count("dropped storm") == 1000
     desk.later(2)
     assert [desk.told(mtp=800) is not None for _ in range(3)] == [True, False, False]
     desk.later(0.1, share=0.8)
@@ -92,7 +92,7 @@
 
 
 def test_the_tables_are_bounded() -> None:
-    intake = Intake(Trust(most=3), most=2)
+    intake = Intake(Trust(most=3), max_sessions=2)
     for number in range(5):
         intake.update_session(NOW, f"s{number}", "", "", 1, 1.0)
         intake.trust.judge(("viewer", str(number)), False)
