--- a/ponddoor/hints/intake.py
+++ b/ponddoor/hints/intake.py
@@ -153,7 +153,7 @@
         contradiction = self._contradiction(now, session, means)
         if contradiction is not None:
             for source in _sources(session.viewer, session.tenant):
-                self.trust.judge(source, not contradiction)
+                self.trust.add_verdict(source, not contradiction)
         if contradiction:
             self.count(f"contradicted {contradiction}")
             return None
@@ -187,7 +187,7 @@
 
     def _is_trusted(self, viewer: str, tenant: str) -> bool:
         for source in _sources(viewer, tenant):
-            if not self.trust.believed(source):
+            if not self.trust.is_trusted(source):
                 self.count(f"disbelieved {source[0]}")
                 return False
         return True
@@ -287,11 +287,11 @@
                 and now - measured.duress_since > MAX_DURESS_LEAD_US
                 and measured.last_short_at < measured.duress_since
             )
-            self.trust.judge(source, not (at_ease or unfounded_duress))
+            self.trust.add_verdict(source, not (at_ease or unfounded_duress))
             if at_ease or unfounded_duress:
                 self.count("contradicted " + ("at-ease-while-short" if at_ease else "duress-at-full-share"))
                 return None
-        if not self.trust.believed(source):
+        if not self.trust.is_trusted(source):
             self.count("disbelieved server")
             return None
         self.count("taken server")
--- a/ponddoor/hints/trust.py
+++ b/ponddoor/hints/trust.py
@@ -1,49 +1,61 @@
-"""How far each source of hints is believed: its last verdicts against what was measured.
+"""How far each source of hints is trusted, by the latest comparisons of its hints with measurements.
 
-A source is a viewer, a tenant or a server. A verdict says whether one of its hints agreed with the measured
-share. Who has few is believed; who contradicts too often is not, until its hints agree again. No clock, no
-chance; the table is bounded, and who was heard longest ago is forgotten."""
+A source is a viewer, a tenant or a server. A verdict says whether one of its hints agreed with what was
+measured. A source with few verdicts is trusted; one that contradicts too often is not, until enough of its
+later hints agree. Uses no clock and no random numbers. The table is bounded: beyond `max_sources`, the source
+whose last verdict is oldest is evicted."""
 
 from collections import OrderedDict
 from dataclasses import dataclass, field
 
-Source = tuple[str, str]  # what it is: viewer, tenant or server; and which
+Source = tuple[str, str]  # its kind ("viewer", "tenant" or "server") and its name
 
 
 @dataclass(frozen=True, slots=True)
-class Lenience:
-    """Of the last `kept` verdicts, from `least` on, `part` may contradict."""
+class Tolerance:
+    """How many contradictions a source may have and still be trusted.
 
-    kept: int
-    least: int
-    part: float
+    The last `window` verdicts are kept. Once there are `min_verdicts` of them, at most the part
+    `max_contradicted_ratio` may be contradictions."""
 
+    window: int
+    min_verdicts: int
+    max_contradicted_ratio: float
 
-LENIENCE = {"viewer": Lenience(8, 2, 0.25), "tenant": Lenience(64, 16, 0.4), "server": Lenience(8, 2, 0.25)}
-MOST = 20_000
+
+TOLERANCES = {
+    "viewer": Tolerance(8, 2, 0.25),
+    "tenant": Tolerance(64, 16, 0.4),
+    "server": Tolerance(8, 2, 0.25),
+}
+MAX_SOURCES = 20_000
 
 
 @dataclass(slots=True)
 class Trust:
-    """Verdicts by source."""
+    """The latest verdicts on each source, oldest first; True means that the hint agreed."""
 
-    most: int = MOST
+    max_sources: int = MAX_SOURCES
     verdicts: OrderedDict[Source, list[bool]] = field(default_factory=OrderedDict)
-    forgotten: int = 0
+    evicted: int = 0
 
-    def judge(self, source: Source, agreed: bool) -> None:
-        held = self.verdicts.pop(source, [])
-        self.verdicts[source] = [*held[1 - LENIENCE[source[0]].kept :], agreed]
-        if len(self.verdicts) > self.most:
+    def add_verdict(self, source: Source, agreed: bool) -> None:
+        verdicts = self.verdicts.pop(source, [])
+        self.verdicts[source] = [*verdicts[1 - TOLERANCES[source[0]].window :], agreed]
+        if len(self.verdicts) > self.max_sources:
             self.verdicts.popitem(last=False)
-            self.forgotten += 1
+            self.evicted += 1
+
+    def is_trusted(self, source: Source) -> bool:
+        """Whether hints of a source may be used.
 
-    def believed(self, source: Source) -> bool:
-        """Guards against sources that lie or whose measure is broken. It may harm who was measured wrongly:
-        for as many hints as the verdicts that are kept."""
-        held, lenience = self.verdicts.get(source, []), LENIENCE[source[0]]
-        return len(held) < lenience.least or held.count(False) <= lenience.part * len(held)
+        Guards against sources that report false values or measure wrongly. A source that was itself measured
+        wrongly may be distrusted without cause, for at most as many hints as verdicts are kept."""
+        verdicts, tolerance = self.verdicts.get(source, []), TOLERANCES[source[0]]
+        return len(verdicts) < tolerance.min_verdicts or (
+            verdicts.count(False) <= tolerance.max_contradicted_ratio * len(verdicts)
+        )
 
     def untrusted_sources(self) -> list[Source]:
-        """Who is not believed now, for operators."""
-        return [source for source in self.verdicts if not self.believed(source)]
+        """The sources that are not trusted at present, for operators."""
+        return [source for source in self.verdicts if not self.is_trusted(source)]
--- a/tests/hints/test_intake.py
+++ b/tests/hints/test_intake.py
@@ -92,12 +92,12 @@
 
 
 def test_the_tables_are_bounded() -> None:
-    intake = Intake(Trust(most=3), max_sessions=2)
+    intake = Intake(Trust(max_sources=3), max_sessions=2)
     for number in range(5):
         intake.update_session(NOW, f"s{number}", "", "", 1, 1.0)
-        intake.trust.judge(("viewer", str(number)), False)
+        intake.trust.add_verdict(("viewer", str(number)), False)
     assert list(intake.sessions) == ["s3", "s4"] and intake.counts["sessions-forgotten"] == 3
-    assert len(intake.trust.verdicts) == 3 and intake.trust.forgotten == 2
+    assert len(intake.trust.verdicts) == 3 and intake.trust.evicted == 2
 
 
 def test_who_always_cries_starvation_is_not_believed_until_it_agrees_again(desk: Desk) -> None:
