--- a/ponddoor/hints/cmcd.py
+++ b/ponddoor/hints/cmcd.py
@@ -8,7 +8,16 @@
 import msgspec
 from http_sf import Token
 
-from ponddoor.hints.fields import Bounds, ReadResult, Typed, Values, check, read_dictionary, rounded, written
+from ponddoor.hints.fields import (
+    Bounds,
+    ReadResult,
+    TypedValue,
+    Values,
+    add_valid_members,
+    read_dictionary,
+    round_value,
+    serialize_members,
+)
 from ponddoor.hints.keys import CMCD, Group
 
 HEADERS = (Group.OBJECT, Group.REQUEST, Group.SESSION, Group.STATUS)
@@ -28,7 +37,7 @@
         part = read_dictionary(text, CMCD, bounds)
         for name in part.values:
             if name in CMCD and CMCD[name].group is not group:
-                part.lose("wrong-header")
+                part.add_lost("wrong-header")
         read.merge(part)
     return read
 
@@ -41,31 +50,31 @@
 def read_query(query: str, bounds: Bounds = BOUNDS) -> ReadResult:
     """The argument `CMCD` of a query string, still in its percent coding."""
     read = ReadResult()
-    if len(query) > 3 * bounds.characters:
-        read.lose("too-long")
+    if len(query) > 3 * bounds.max_characters:
+        read.add_lost("too-long")
         return read
     try:
         found = parse_qs(query, max_num_fields=100, errors="strict").get(QUERY_ARGUMENT, [])
     except ValueError:
-        read.lose("malformed-query")
+        read.add_lost("malformed-query")
         return read
     for text in found[:1]:
         read.merge(read_argument(text, bounds))
     if len(found) > 1:
-        read.lose("argument-twice", len(found) - 1)
+        read.add_lost("argument-twice", len(found) - 1)
     return read
 
 
 def read_json(text: bytes, bounds: Bounds = BOUNDS) -> ReadResult:
     """A JSON object: booleans, numbers and strings; tokens are strings there."""
     read = ReadResult()
-    if len(text) > bounds.characters:
-        read.lose("too-long")
+    if len(text) > bounds.max_characters:
+        read.add_lost("too-long")
         return read
     try:
         members = msgspec.json.decode(text)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError):
-        read.lose("malformed-json")
+        read.add_lost("malformed-json")
         return read
     return read_members(members, bounds)
 
@@ -74,13 +83,13 @@
     """The same of a JSON object that is decoded already. Members of lists are values, or {"value", "of"}."""
     read = ReadResult()
     if not isinstance(members, dict):
-        read.lose("malformed-json")
+        read.add_lost("malformed-json")
         return read
     shaped = {
         str(name): [_typed(one) for one in member] if isinstance(member, list) else member
         for name, member in members.items()
     }
-    check(shaped, CMCD, bounds, read)
+    add_valid_members(shaped, CMCD, bounds, read)
     return read
 
 
@@ -104,10 +113,10 @@
             if whole.values.setdefault(name, value) != value:
                 disputed.add(name)
         for why, times in part.lost.items():
-            whole.lose(why, times)
+            whole.add_lost(why, times)
     for name in sorted(disputed):
         del whole.values[name]
-        whole.lose("carriers-disagree")
+        whole.add_lost("carriers-disagree")
     return whole
 
 
@@ -119,27 +128,27 @@
     try:
         lines = text.decode("ascii").splitlines()
     except UnicodeDecodeError:
-        all_of.lose("malformed-reports")
+        all_of.add_lost("malformed-reports")
         return [], all_of
     if len(lines) > most:
-        all_of.lose("too-many-reports", len(lines) - most)
+        all_of.add_lost("too-many-reports", len(lines) - most)
     for line in lines[:most]:
         if not line.strip():
             continue
         read = read_dictionary(line, CMCD, bounds)
         for why, times in read.lost.items():
-            all_of.lose(why, times)
+            all_of.add_lost(why, times)
         if "e" in read.values:
             reports.append(read.values)
         elif not read.lost:
-            all_of.lose("no-event")
+            all_of.add_lost("no-event")
     return reports, all_of
 
 
 def write_headers(values: Values) -> dict[str, str]:
     """The headers that carry these values; custom keys go with the session's. Raises ValueError."""
     made: dict[str, list[str]] = {}
-    for name, text in written(values, CMCD).items():
+    for name, text in serialize_members(values, CMCD).items():
         group = CMCD[name].group if name in CMCD else Group.SESSION
         made.setdefault(group.value, []).append(text)
     return {name: ",".join(parts) for name, parts in sorted(made.items())}
@@ -147,20 +156,22 @@
 
 def write_query(values: Values) -> str:
     """The query argument, percent-coded. Raises ValueError."""
-    return f"{QUERY_ARGUMENT}={quote(','.join(written(values, CMCD).values()), safe='')}"
+    return f"{QUERY_ARGUMENT}={quote(','.join(serialize_members(values, CMCD).values()), safe='')}"
 
 
 def write_json(values: Values) -> bytes:
     """The JSON object. Raises ValueError where a value can't be written."""
-    written(values, CMCD)  # the same checks as on every carrier
+    serialize_members(values, CMCD)  # the same checks as on every carrier
     made: dict[str, object] = {}
     for name in sorted(values):
         key = CMCD.get(name)
-        value = values[name] if key is None else rounded(key, values[name])
+        value = values[name] if key is None else round_value(key, values[name])
         if key is not None and value == key.omitted and type(value) is type(key.omitted):
             continue
         if isinstance(value, tuple):
-            value = [{"value": one.value, "of": one.of} if one.of else one.value for one in value]
+            value = [
+                {"value": one.value, "of": one.object_type} if one.object_type else one.value for one in value
+            ]
         made[name] = str(value) if isinstance(value, Token) else value
     return msgspec.json.encode(made)
 
@@ -170,12 +181,14 @@
     for report in reports:
         if "e" not in report:
             raise ValueError("a report needs its event, e")
-    return b"\n".join(",".join(written(report, CMCD).values()).encode("ascii") for report in reports)
+    return b"\n".join(
+        ",".join(serialize_members(report, CMCD).values()).encode("ascii") for report in reports
+    )
 
 
 def one_of(value: object, kind: str = "v") -> object:
     """The one value that matters of a list of version 2: that of an object type, else the first."""
     if not isinstance(value, tuple):
         return value
-    of_kind = [one.value for one in value if isinstance(one, Typed) and one.of == kind]
+    of_kind = [one.value for one in value if isinstance(one, TypedValue) and one.object_type == kind]
     return of_kind[0] if of_kind else value[0].value
--- a/ponddoor/hints/cmsd.py
+++ b/ponddoor/hints/cmsd.py
@@ -5,7 +5,15 @@
 import http_sf
 from http_sf import StructuredFieldError
 
-from ponddoor.hints.fields import Bounds, ReadResult, Values, check, parsed, read_dictionary, written
+from ponddoor.hints.fields import (
+    Bounds,
+    ReadResult,
+    Values,
+    add_valid_members,
+    parse,
+    read_dictionary,
+    serialize_members,
+)
 from ponddoor.hints.keys import CMSD_DYNAMIC, CMSD_STATIC, LONGEST_TEXT
 
 STATIC_HEADER, DYNAMIC_HEADER = "CMSD-Static", "CMSD-Dynamic"
@@ -27,25 +35,25 @@
 
 def write_static(values: Values) -> str:
     """Raises ValueError where a value can't be written."""
-    return ",".join(written(values, CMSD_STATIC).values())
+    return ",".join(serialize_members(values, CMSD_STATIC).values())
 
 
 def read_dynamic(text: str, bounds: Bounds = BOUNDS) -> tuple[list[Hop], ReadResult]:
     """The intermediaries in order, and what was lost. An entry without a name costs that entry."""
     read, hops = ReadResult(), list[Hop]()
-    members = parsed(text, "list", bounds, read)
+    members = parse(text, "list", bounds, read)
     for number, member in enumerate(members or []):
         if number >= MOST_HOPS:
-            read.lose("too-many-hops", len(members) - number)
+            read.add_lost("too-many-hops", len(members) - number)
             break
         name, about = member
         if not isinstance(name, str) or isinstance(name, http_sf.Token) or not 0 < len(name) <= LONGEST_TEXT:
-            read.lose("malformed-hop")
+            read.add_lost("malformed-hop")
             continue
         inner = ReadResult()
-        check(about, CMSD_DYNAMIC, bounds, inner)
+        add_valid_members(about, CMSD_DYNAMIC, bounds, inner)
         for why, times in inner.lost.items():
-            read.lose(why, times)
+            read.add_lost(why, times)
         hops.append(Hop(name, inner.values))
     return hops, read
 
@@ -60,7 +68,7 @@
             raise ValueError(f"{hop.name!r} can't be an intermediary's name: {problem}") from None
         if any(name != name.lower() for name in hop.values):
             raise ValueError(f"{hop.name}: a parameter has no capitals")
-        made[-1] += "".join(f";{text}" for text in written(hop.values, CMSD_DYNAMIC).values())
+        made[-1] += "".join(f";{text}" for text in serialize_members(hop.values, CMSD_DYNAMIC).values())
     return ",".join(made)
 
 
--- a/ponddoor/hints/fields.py
+++ b/ponddoor/hints/fields.py
@@ -1,7 +1,8 @@
-"""Values of hints as structured fields (RFC 9651, by a library), checked key by key against a table.
+"""Reads and writes the values of hints as structured fields (RFC 9651), checked against a table of keys.
 
-A value that its key can't have costs that key; in text that is no structured field each member is tried
-alone. Nothing here raises on bad input: every loss is counted under its reason."""
+The library http_sf does the parsing. A value that its key does not allow costs that key alone; if a text is
+not a valid structured field, each member of it is parsed alone. Reading raises no error on bad input: each
+value that is lost is counted under a reason."""
 
 import math
 import re
@@ -15,180 +16,193 @@
 
 from ponddoor.hints.keys import LONGEST_TEXT, MOST_INTEGER, MOST_LIST, Key, Kind
 
-FAULTS = (StructuredFieldError, UnicodeEncodeError, ValueError, OverflowError, RecursionError)
-_PART = re.compile(r'(?:[^,"]|"(?:[^"\\]|\\.)*"?)+')  # up to a comma that is in no string
+CODEC_ERRORS = (StructuredFieldError, UnicodeEncodeError, ValueError, OverflowError, RecursionError)
+_MEMBER_TEXT = re.compile(r'(?:[^,"]|"(?:[^"\\]|\\.)*"?)+')  # up to the next comma outside a string
 _MEMBER = re.compile(r"([A-Za-z*][A-Za-z0-9_.*-]{0,63})(?:=(.*))?", re.DOTALL)
 
 
 @dataclass(frozen=True, slots=True)
-class Typed:
-    """A member of a list of version 2: a value and the object type it is of ("" where none was said)."""
+class TypedValue:
+    """A member of a list of CMCD version 2: a value and the object type it is for ("" if not given)."""
 
     value: Any
-    of: str = ""
+    object_type: str = ""
 
 
-# What a key holds: int, float, bool, str, or a tuple of Typed; of custom keys any bare item, Token among them
+# The value of a key: int, float, bool, str or a tuple of TypedValue; of a custom key also a Token
 Value = Any
 Values = dict[str, Value]
 
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
-    """What is read of one carrier: `characters` of its text, and `keys`; more is left unread and counted."""
+    """How much of one carrier (a header, query argument or body) is read; an excess is lost and counted."""
 
-    characters: int = 4096
-    keys: int = 64
+    max_characters: int = 4096
+    max_keys: int = 64
 
 
 @dataclass(slots=True)
 class ReadResult:
-    """What a carrier held: values by key, and how often what was lost, by reason."""
+    """What was read of a carrier: the values by key, and how many were lost, by reason."""
 
     values: Values = field(default_factory=dict)
     lost: dict[str, int] = field(default_factory=dict)
 
-    def lose(self, why: str, times: int = 1) -> None:
-        self.lost[why] = self.lost.get(why, 0) + times
+    def add_lost(self, reason: str, times: int = 1) -> None:
+        self.lost[reason] = self.lost.get(reason, 0) + times
 
     def merge(self, other: "ReadResult") -> None:
-        """Add another part of the same carrier; a key that comes twice keeps its first value."""
+        """Adds another part of the same carrier. A key that occurs twice keeps its first value."""
         for name, value in other.values.items():
             if name in self.values:
-                self.lose("key-twice")
+                self.add_lost("key-twice")
             else:
                 self.values[name] = value
-        for why, times in other.lost.items():
-            self.lose(why, times)
+        for reason, times in other.lost.items():
+            self.add_lost(reason, times)
 
 
-def custom(name: str) -> bool:
-    """Whether a key is somebody's own: those carry a hyphen (CTA-5004, section 3.2)."""
+def is_custom(name: str) -> bool:
+    """Whether a key is custom: such keys contain a hyphen (CTA-5004, section 3.2)."""
     return "-" in name
 
 
 def read_dictionary(text: str, keys: Mapping[str, Key], bounds: Bounds) -> ReadResult:
-    """The dictionary in one header or query argument."""
+    """Reads the dictionary in one header or query argument."""
     read = ReadResult()
-    members = parsed(text, "dictionary", bounds, read)
+    members = parse(text, "dictionary", bounds, read)
     if isinstance(members, dict):
-        check(members, keys, bounds, read)
+        add_valid_members(members, keys, bounds, read)
     return read
 
 
-def parsed(text: str, kind: str, bounds: Bounds, read: ReadResult) -> Any:
+def parse(text: str, top_level_type: str, bounds: Bounds, read: ReadResult) -> Any:
+    """The members of a "dictionary" or "list", unchecked.
+
+    Returns None for a text that is too long or a list that is malformed, and counts it in `read`."""
     if not text.strip():
-        return {} if kind == "dictionary" else []
-    if len(text) > bounds.characters:
-        read.lose("too-long")
+        return {} if top_level_type == "dictionary" else []
+    if len(text) > bounds.max_characters:
+        read.add_lost("too-long")
         return None
     try:
         return http_sf.parse(
-            text.encode("ascii"), tltype=kind, on_duplicate_key=lambda name, where: read.lose("key-twice")
+            text.encode("ascii"),
+            tltype=top_level_type,
+            on_duplicate_key=lambda name, context: read.add_lost("key-twice"),
         )
-    except FAULTS:
-        if kind == "dictionary":
-            return _salvaged(text, read)
-        read.lose("malformed-header")
+    except CODEC_ERRORS:
+        if top_level_type == "dictionary":
+            return _parse_members_singly(text, read)
+        read.add_lost("malformed-header")
         return None
 
 
-def _salvaged(text: str, read: ReadResult) -> dict[str, Any]:
-    """The members of a dictionary one by one, so that a malformed one costs itself alone.
+def _parse_members_singly(text: str, read: ReadResult) -> dict[str, Any]:
+    """The members of a malformed dictionary, each parsed alone, so that only the malformed ones are lost.
 
-    Also where custom keys are in capitals, as CTA-5004 writes them though RFC 9651 has none."""
+    Also reads custom keys with capitals, which CTA-5004 uses although RFC 9651 does not allow them."""
     members: dict[str, Any] = {}
-    for part in _PART.findall(text):
-        found = _MEMBER.fullmatch(part.strip())
-        if found is None or (found[1] != found[1].lower() and not custom(found[1])):
-            read.lose("malformed-key")
+    for member_text in _MEMBER_TEXT.findall(text):
+        match = _MEMBER.fullmatch(member_text.strip())
+        if match is None or (match[1] != match[1].lower() and not is_custom(match[1])):
+            read.add_lost("malformed-key")
             continue
         try:
-            alone: Any = http_sf.parse(
-                ("?1" if found[2] is None else found[2]).encode("ascii"), tltype="list"
+            single_member: Any = http_sf.parse(
+                ("?1" if match[2] is None else match[2]).encode("ascii"), tltype="list"
             )
-            [members[found[1]]] = alone
-        except FAULTS:
-            read.lose("malformed-key")
+            [members[match[1]]] = single_member
+        except CODEC_ERRORS:
+            read.add_lost("malformed-key")
     if not members and not read.lost:
-        read.lose("malformed-header")
+        read.add_lost("malformed-header")
     return members
 
 
-def check(members: Mapping[str, Any], keys: Mapping[str, Key], bounds: Bounds, read: ReadResult) -> None:
-    """Take each member that its key allows. Members are (value, parameters), a bare one, or lists of such."""
-    for number, (name, member) in enumerate(members.items()):
-        if number >= bounds.keys:
-            read.lose("too-many-keys", len(members) - number)
+def add_valid_members(
+    members: Mapping[str, Any], keys: Mapping[str, Key], bounds: Bounds, read: ReadResult
+) -> None:
+    """Adds to `read` the members that their keys allow. A member is a value, a pair of a value and its
+    parameters, or a list of either.
+
+    A key that is not in the table is added as well; if it has no hyphen it also counts as unknown."""
+    for index, (name, member) in enumerate(members.items()):
+        if index >= bounds.max_keys:
+            read.add_lost("too-many-keys", len(members) - index)
             return
         key = keys.get(name)
         if key is None:
-            bare = member[0] if isinstance(member, tuple) else member
-            bare = float(bare) if isinstance(bare, Decimal) else bare
-            usable = isinstance(bare, (int, float, str, Token)) and len(str(bare)) <= LONGEST_TEXT
+            item = member[0] if isinstance(member, tuple) else member
+            item = float(item) if isinstance(item, Decimal) else item
+            usable = isinstance(item, (int, float, str, Token)) and len(str(item)) <= LONGEST_TEXT
             if not usable:
-                read.lose("unusable-custom")
+                read.add_lost("unusable-custom")
                 continue
-            if not custom(name):
-                read.lose("unknown-key")
-            read.values[name] = bare
+            if not is_custom(name):
+                read.add_lost("unknown-key")
+            read.values[name] = item
             continue
-        value = _value(key, member, read)
+        value = _valid_value(key, member, read)
         if value is not None:
             read.values[name] = value
 
 
-def _value(key: Key, member: Any, read: ReadResult) -> Value | None:
-    bare = member[0] if isinstance(member, tuple) else member
-    if not isinstance(bare, list):
-        return _bare(key, bare, read)
+def _valid_value(key: Key, member: Any, read: ReadResult) -> Value | None:
+    """A member's value, or of a list the values that are valid. Returns None if none is, and counts why."""
+    item = member[0] if isinstance(member, tuple) else member
+    if not isinstance(item, list):
+        return _valid_item(key, item, read)
     if not key.many:
-        read.lose("wrong-type")
+        read.add_lost("wrong-type")
         return None
-    if len(bare) > MOST_LIST:
-        read.lose("list-too-long")
+    if len(item) > MOST_LIST:
+        read.add_lost("list-too-long")
         return None
-    held = []
-    for one in bare:
-        inner, about = one if isinstance(one, tuple) else (one, {})
-        value = _bare(key, inner, read)
+    typed_values = []
+    for inner_member in item:
+        inner_item, parameters = inner_member if isinstance(inner_member, tuple) else (inner_member, {})
+        value = _valid_item(key, inner_item, read)
         if value is not None:
-            held.append(Typed(value, next((name for name, flag in about.items() if flag is True), "")))
-    return tuple(held) or None
+            typed_values.append(
+                TypedValue(value, next((name for name, flag in parameters.items() if flag is True), ""))
+            )
+    return tuple(typed_values) or None
 
 
-def _bare(key: Key, bare: Any, read: ReadResult) -> Value | None:
-    """One bare item in the shape its key has, or None, counted."""
-    why = "wrong-type"
+def _valid_item(key: Key, item: Any, read: ReadResult) -> Value | None:
+    """A bare item as its key's kind of value. Returns None if it is not one, and counts why."""
+    reason = "wrong-type"
     match key.kind:
-        case Kind.INTEGER if isinstance(bare, int) and not isinstance(bare, bool):
-            if 0 <= bare <= MOST_INTEGER:
-                return bare
-            why = "out-of-range"
-        case Kind.DECIMAL if isinstance(bare, (int, float, Decimal)) and not isinstance(bare, bool):
-            if math.isfinite(bare) and 0 <= bare <= 1000:
-                return float(bare)
-            why = "out-of-range"
-        case Kind.BOOLEAN if isinstance(bare, bool):
-            return bare
-        case Kind.STRING if isinstance(bare, str) and not isinstance(bare, Token):
-            if len(bare) <= key.longest:
-                return bare
-            why = "too-long"
-        case Kind.TOKEN if isinstance(bare, (str, Token)):
-            if str(bare) in key.tokens:
-                return str(bare)
-            why = "unknown-token"
+        case Kind.INTEGER if isinstance(item, int) and not isinstance(item, bool):
+            if 0 <= item <= MOST_INTEGER:
+                return item
+            reason = "out-of-range"
+        case Kind.DECIMAL if isinstance(item, (int, float, Decimal)) and not isinstance(item, bool):
+            if math.isfinite(item) and 0 <= item <= 1000:
+                return float(item)
+            reason = "out-of-range"
+        case Kind.BOOLEAN if isinstance(item, bool):
+            return item
+        case Kind.STRING if isinstance(item, str) and not isinstance(item, Token):
+            if len(item) <= key.longest:
+                return item
+            reason = "too-long"
+        case Kind.TOKEN if isinstance(item, (str, Token)):
+            if str(item) in key.tokens:
+                return str(item)
+            reason = "unknown-token"
         case _:
             pass
-    read.lose(why)
+    read.add_lost(reason)
     return None
 
 
-def rounded(key: Key, value: Value) -> Value:
-    """A value as a sender gives it: integers to the nearest that the specification names."""
+def round_value(key: Key, value: Value) -> Value:
+    """A value as a sender must give it: integers rounded as their key requires, decimals to three places."""
     if isinstance(value, tuple):
-        return tuple(Typed(rounded(key, one.value), one.of) for one in value)
+        return tuple(TypedValue(round_value(key, member.value), member.object_type) for member in value)
     if key.kind is Kind.INTEGER and not isinstance(value, bool):
         return (round(value) + key.nearest // 2) // key.nearest * key.nearest
     if key.kind is Kind.DECIMAL:
@@ -196,33 +210,40 @@
     return value
 
 
-def written(values: Mapping[str, Value], keys: Mapping[str, Key]) -> dict[str, str]:
-    """Each member as `key=value`, by key in alphabetical order, without those that say nothing.
+def serialize_members(values: Mapping[str, Value], keys: Mapping[str, Key]) -> dict[str, str]:
+    """Each member as `key=value`, by key in alphabetical order, without values that absence implies.
 
-    Raises ValueError where a value can't be written."""
-    made: dict[str, str] = {}
+    Raises ValueError if a value can't be written."""
+    texts: dict[str, str] = {}
     for name in sorted(values):
         key = keys.get(name)
-        value = values[name] if key is None else rounded(key, values[name])
+        value = values[name] if key is None else round_value(key, values[name])
         if key is not None and value == key.omitted and type(value) is type(key.omitted):
             continue
         try:
             if not _MEMBER.fullmatch(name) or "=" in name:
-                raise ValueError("no key")
-            text = "" if value is True else f"={http_sf.ser([_member(key, value)])}"
-            made[name] = name + text
-        except (*FAULTS, TypeError, AttributeError) as problem:
-            raise ValueError(f"{name}: {value!r} can't be written: {problem}") from None
-    return made
+                raise ValueError("its name is not a valid key")
+            text = "" if value is True else f"={http_sf.ser([_to_member(key, value)])}"
+            texts[name] = name + text
+        except (*CODEC_ERRORS, TypeError, AttributeError) as error:
+            raise ValueError(f"{name}: {value!r} can't be written: {error}") from None
+    return texts
 
 
-def _member(key: Key | None, value: Value) -> Any:
+def _to_member(key: Key | None, value: Value) -> Any:
+    """A value as the library's pair of an item, or a list of them, and parameters."""
     if isinstance(value, tuple):
-        return ([(_item(key, one.value), {one.of: True} if one.of else {}) for one in value], {})
-    return (_item(key, value), {})
+        return (
+            [
+                (_to_item(key, member.value), {member.object_type: True} if member.object_type else {})
+                for member in value
+            ],
+            {},
+        )
+    return (_to_item(key, value), {})
 
 
-def _item(key: Key | None, value: Value) -> Any:
+def _to_item(key: Key | None, value: Value) -> Any:
     if key is not None and key.kind is Kind.TOKEN:
         return Token(value)
     return Decimal(str(value)) if isinstance(value, float) else value
--- a/tests/hints/test_codecs.py
+++ b/tests/hints/test_codecs.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 
 from ponddoor.hints import cmcd, cmsd
-from ponddoor.hints.fields import Bounds, Typed, read_dictionary
+from ponddoor.hints.fields import Bounds, TypedValue, read_dictionary
 from ponddoor.hints.keys import CMCD, CMSD_DYNAMIC, CMSD_STATIC, Group, Key, Kind
 
 TEXT = st.text(st.characters(min_codepoint=0x20, max_codepoint=0x7E), min_size=1, max_size=40)
@@ -33,7 +33,7 @@
 def value(key: Key) -> st.SearchStrategy[Any]:
     if not key.many:
         return bare(key)
-    members = st.builds(Typed, bare(key), KINDS)
+    members = st.builds(TypedValue, bare(key), KINDS)
     return bare(key) | st.lists(members, min_size=1, max_size=4).map(tuple)
 
 
@@ -118,7 +118,7 @@
     ("com.Example-aKey=3,bl=1", {"com.Example-aKey": 3, "bl": 1}, {}),
     ('nor="a,b\\"c",bl=1,(', {"nor": 'a,b"c', "bl": 1}, {"malformed-key": 1}),
     ("dl=(1 2)", {}, {"wrong-type": 1}),
-    ('br=(1;v "x")', {"br": (Typed(1, "v"),)}, {"wrong-type": 1}),
+    ('br=(1;v "x")', {"br": (TypedValue(1, "v"),)}, {"wrong-type": 1}),
     ("bl=1, bl=2", {"bl": 2}, {"key-twice": 1}),
     ("x-b=:YWJj:,bl=1", {"bl": 1}, {"unusable-custom": 1}),
 ]
@@ -173,8 +173,8 @@
 
 
 def test_the_value_that_matters_of_a_list() -> None:
-    assert cmcd.one_of((Typed(128, "a"), Typed(900, "v"))) == 900
-    assert cmcd.one_of((Typed(128, "a"),)) == 128 and cmcd.one_of(7) == 7
+    assert cmcd.one_of((TypedValue(128, "a"), TypedValue(900, "v"))) == 900
+    assert cmcd.one_of((TypedValue(128, "a"),)) == 128 and cmcd.one_of(7) == 7
 
 
 def test_every_key_has_its_header_and_a_custom_token_stays_one() -> None:
--- a/tests/hints/test_intake.py
+++ b/tests/hints/test_intake.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from ponddoor.hints.fields import Typed
+from ponddoor.hints.fields import TypedValue
 from ponddoor.hints.intake import MAX_AGE_US, MAX_HINTS_PER_S, SECOND, Intake
 from ponddoor.hints.trust import Trust
 from ponddoor.interface.events import Means, ServerHint
@@ -45,7 +45,7 @@
     got = desk.told(mtp=8000, tb=4000, rtp=16_000, bl=2500, dl=900, bs=False)
     assert got == Means(desk.now, 1000.0, 500.0, 2_500_000, 900_000, False)
     desk.later(6, share=None)
-    lists = desk.told(mtp=(Typed(100, "a"), Typed(800, "v")), bs=(Typed(True, "v"),))
+    lists = desk.told(mtp=(TypedValue(100, "a"), TypedValue(800, "v")), bs=(TypedValue(True, "v"),))
     assert lists == Means(desk.now, starved=True)
     assert desk.told(sess="x", sf="d") is None and desk.count("dropped nothing-in-it") == 1
 
