--- a/ponddoor/hints/cmcd.py
+++ b/ponddoor/hints/cmcd.py
@@ -18,9 +18,9 @@
     round_value,
     serialize_members,
 )
-from ponddoor.hints.keys import CMCD, Group
+from ponddoor.hints.keys import CMCD_KEYS, Header
 
-HEADERS = (Group.OBJECT, Group.REQUEST, Group.SESSION, Group.STATUS)
+HEADERS = (Header.OBJECT, Header.REQUEST, Header.SESSION, Header.STATUS)
 QUERY_ARGUMENT = "CMCD"
 REPORT_MEDIA_TYPE = "application/cmcd"  # the media type of a batch of reports (version 2)
 MOST_REPORTS = 100
@@ -30,13 +30,13 @@
 def read_headers(headers: Mapping[str, str], bounds: Bounds = BOUNDS) -> ReadResult:
     """The four headers (names in lower case). A key in the wrong header is kept and counted: proxies fold."""
     read = ReadResult()
-    for group in HEADERS:
-        text = headers.get(group.value.lower())
+    for header in HEADERS:
+        text = headers.get(header.value.lower())
         if text is None:
             continue
-        part = read_dictionary(text, CMCD, bounds)
+        part = read_dictionary(text, CMCD_KEYS, bounds)
         for name in part.values:
-            if name in CMCD and CMCD[name].group is not group:
+            if name in CMCD_KEYS and CMCD_KEYS[name].header is not header:
                 part.add_lost("wrong-header")
         read.merge(part)
     return read
@@ -44,7 +44,7 @@
 
 def read_argument(text: str, bounds: Bounds = BOUNDS) -> ReadResult:
     """The value of the argument `CMCD`, its percent coding undone."""
-    return read_dictionary(text, CMCD, bounds)
+    return read_dictionary(text, CMCD_KEYS, bounds)
 
 
 def read_query(query: str, bounds: Bounds = BOUNDS) -> ReadResult:
@@ -89,7 +89,7 @@
         str(name): [_typed(one) for one in member] if isinstance(member, list) else member
         for name, member in members.items()
     }
-    add_valid_members(shaped, CMCD, bounds, read)
+    add_valid_members(shaped, CMCD_KEYS, bounds, read)
     return read
 
 
@@ -135,7 +135,7 @@
     for line in lines[:most]:
         if not line.strip():
             continue
-        read = read_dictionary(line, CMCD, bounds)
+        read = read_dictionary(line, CMCD_KEYS, bounds)
         for why, times in read.lost.items():
             all_of.add_lost(why, times)
         if "e" in read.values:
@@ -148,25 +148,25 @@
 def write_headers(values: Values) -> dict[str, str]:
     """The headers that carry these values; custom keys go with the session's. Raises ValueError."""
     made: dict[str, list[str]] = {}
-    for name, text in serialize_members(values, CMCD).items():
-        group = CMCD[name].group if name in CMCD else Group.SESSION
-        made.setdefault(group.value, []).append(text)
+    for name, text in serialize_members(values, CMCD_KEYS).items():
+        header = CMCD_KEYS[name].header if name in CMCD_KEYS else Header.SESSION
+        made.setdefault(header.value, []).append(text)
     return {name: ",".join(parts) for name, parts in sorted(made.items())}
 
 
 def write_query(values: Values) -> str:
     """The query argument, percent-coded. Raises ValueError."""
-    return f"{QUERY_ARGUMENT}={quote(','.join(serialize_members(values, CMCD).values()), safe='')}"
+    return f"{QUERY_ARGUMENT}={quote(','.join(serialize_members(values, CMCD_KEYS).values()), safe='')}"
 
 
 def write_json(values: Values) -> bytes:
     """The JSON object. Raises ValueError where a value can't be written."""
-    serialize_members(values, CMCD)  # the same checks as on every carrier
+    serialize_members(values, CMCD_KEYS)  # the same checks as on every carrier
     made: dict[str, object] = {}
     for name in sorted(values):
-        key = CMCD.get(name)
+        key = CMCD_KEYS.get(name)
         value = values[name] if key is None else round_value(key, values[name])
-        if key is not None and value == key.omitted and type(value) is type(key.omitted):
+        if key is not None and value == key.omitted_value and type(value) is type(key.omitted_value):
             continue
         if isinstance(value, tuple):
             value = [
@@ -182,7 +182,7 @@
         if "e" not in report:
             raise ValueError("a report needs its event, e")
     return b"\n".join(
-        ",".join(serialize_members(report, CMCD).values()).encode("ascii") for report in reports
+        ",".join(serialize_members(report, CMCD_KEYS).values()).encode("ascii") for report in reports
     )
 
 
--- a/ponddoor/hints/cmsd.py
+++ b/ponddoor/hints/cmsd.py
@@ -14,7 +14,7 @@
     read_dictionary,
     serialize_members,
 )
-from ponddoor.hints.keys import CMSD_DYNAMIC, CMSD_STATIC, LONGEST_TEXT
+from ponddoor.hints.keys import CMSD_DYNAMIC_KEYS, CMSD_STATIC_KEYS, MAX_STRING_CHARACTERS
 
 STATIC_HEADER, DYNAMIC_HEADER = "CMSD-Static", "CMSD-Dynamic"
 MOST_HOPS = 16
@@ -30,12 +30,12 @@
 
 
 def read_static(text: str, bounds: Bounds = BOUNDS) -> ReadResult:
-    return read_dictionary(text, CMSD_STATIC, bounds)
+    return read_dictionary(text, CMSD_STATIC_KEYS, bounds)
 
 
 def write_static(values: Values) -> str:
     """Raises ValueError where a value can't be written."""
-    return ",".join(serialize_members(values, CMSD_STATIC).values())
+    return ",".join(serialize_members(values, CMSD_STATIC_KEYS).values())
 
 
 def read_dynamic(text: str, bounds: Bounds = BOUNDS) -> tuple[list[Hop], ReadResult]:
@@ -47,11 +47,15 @@
             read.add_lost("too-many-hops", len(members) - number)
             break
         name, about = member
-        if not isinstance(name, str) or isinstance(name, http_sf.Token) or not 0 < len(name) <= LONGEST_TEXT:
+        if (
+            not isinstance(name, str)
+            or isinstance(name, http_sf.Token)
+            or not 0 < len(name) <= MAX_STRING_CHARACTERS
+        ):
             read.add_lost("malformed-hop")
             continue
         inner = ReadResult()
-        add_valid_members(about, CMSD_DYNAMIC, bounds, inner)
+        add_valid_members(about, CMSD_DYNAMIC_KEYS, bounds, inner)
         for why, times in inner.lost.items():
             read.add_lost(why, times)
         hops.append(Hop(name, inner.values))
@@ -68,7 +72,7 @@
             raise ValueError(f"{hop.name!r} can't be an intermediary's name: {problem}") from None
         if any(name != name.lower() for name in hop.values):
             raise ValueError(f"{hop.name}: a parameter has no capitals")
-        made[-1] += "".join(f";{text}" for text in serialize_members(hop.values, CMSD_DYNAMIC).values())
+        made[-1] += "".join(f";{text}" for text in serialize_members(hop.values, CMSD_DYNAMIC_KEYS).values())
     return ",".join(made)
 
 
--- a/ponddoor/hints/fields.py
+++ b/ponddoor/hints/fields.py
@@ -14,7 +14,7 @@
 import http_sf
 from http_sf import StructuredFieldError, Token
 
-from ponddoor.hints.keys import LONGEST_TEXT, MOST_INTEGER, MOST_LIST, Key, Kind
+from ponddoor.hints.keys import MAX_INTEGER, MAX_LIST_MEMBERS, MAX_STRING_CHARACTERS, Key, Kind
 
 CODEC_ERRORS = (StructuredFieldError, UnicodeEncodeError, ValueError, OverflowError, RecursionError)
 _MEMBER_TEXT = re.compile(r'(?:[^,"]|"(?:[^"\\]|\\.)*"?)+')  # up to the next comma outside a string
@@ -136,7 +136,7 @@
         if key is None:
             item = member[0] if isinstance(member, tuple) else member
             item = float(item) if isinstance(item, Decimal) else item
-            usable = isinstance(item, (int, float, str, Token)) and len(str(item)) <= LONGEST_TEXT
+            usable = isinstance(item, (int, float, str, Token)) and len(str(item)) <= MAX_STRING_CHARACTERS
             if not usable:
                 read.add_lost("unusable-custom")
                 continue
@@ -154,10 +154,10 @@
     item = member[0] if isinstance(member, tuple) else member
     if not isinstance(item, list):
         return _valid_item(key, item, read)
-    if not key.many:
+    if not key.allows_list:
         read.add_lost("wrong-type")
         return None
-    if len(item) > MOST_LIST:
+    if len(item) > MAX_LIST_MEMBERS:
         read.add_lost("list-too-long")
         return None
     typed_values = []
@@ -176,7 +176,7 @@
     reason = "wrong-type"
     match key.kind:
         case Kind.INTEGER if isinstance(item, int) and not isinstance(item, bool):
-            if 0 <= item <= MOST_INTEGER:
+            if 0 <= item <= MAX_INTEGER:
                 return item
             reason = "out-of-range"
         case Kind.DECIMAL if isinstance(item, (int, float, Decimal)) and not isinstance(item, bool):
@@ -186,7 +186,7 @@
         case Kind.BOOLEAN if isinstance(item, bool):
             return item
         case Kind.STRING if isinstance(item, str) and not isinstance(item, Token):
-            if len(item) <= key.longest:
+            if len(item) <= key.max_characters:
                 return item
             reason = "too-long"
         case Kind.TOKEN if isinstance(item, (str, Token)):
@@ -204,7 +204,7 @@
     if isinstance(value, tuple):
         return tuple(TypedValue(round_value(key, member.value), member.object_type) for member in value)
     if key.kind is Kind.INTEGER and not isinstance(value, bool):
-        return (round(value) + key.nearest // 2) // key.nearest * key.nearest
+        return (round(value) + key.rounding_step // 2) // key.rounding_step * key.rounding_step
     if key.kind is Kind.DECIMAL:
         return round(float(value), 3)
     return value
@@ -218,7 +218,7 @@
     for name in sorted(values):
         key = keys.get(name)
         value = values[name] if key is None else round_value(key, values[name])
-        if key is not None and value == key.omitted and type(value) is type(key.omitted):
+        if key is not None and value == key.omitted_value and type(value) is type(key.omitted_value):
             continue
         try:
             if not _MEMBER.fullmatch(name) or "=" in name:
--- a/tests/hints/test_codecs.py
+++ b/tests/hints/test_codecs.py
@@ -9,17 +9,17 @@
 
 from ponddoor.hints import cmcd, cmsd
 from ponddoor.hints.fields import Bounds, TypedValue, read_dictionary
-from ponddoor.hints.keys import CMCD, CMSD_DYNAMIC, CMSD_STATIC, Group, Key, Kind
+from ponddoor.hints.keys import CMCD_KEYS, CMSD_DYNAMIC_KEYS, CMSD_STATIC_KEYS, Header, Key, Kind
 
 TEXT = st.text(st.characters(min_codepoint=0x20, max_codepoint=0x7E), min_size=1, max_size=40)
 KINDS = st.sampled_from(["", "v", "a", "av"])
-TABLES: list[dict[str, Key]] = [CMCD, CMSD_STATIC, CMSD_DYNAMIC]
+TABLES: list[dict[str, Key]] = [CMCD_KEYS, CMSD_STATIC_KEYS, CMSD_DYNAMIC_KEYS]
 
 
 def bare(key: Key) -> st.SearchStrategy[Any]:
     match key.kind:
         case Kind.INTEGER:
-            return st.integers(0, 10**9).map(lambda n: n * key.nearest)
+            return st.integers(0, 10**9).map(lambda n: n * key.rounding_step)
         case Kind.DECIMAL:
             return st.integers(0, 100_000).map(lambda n: n / 1000)
         case Kind.BOOLEAN:
@@ -31,7 +31,7 @@
 
 
 def value(key: Key) -> st.SearchStrategy[Any]:
-    if not key.many:
+    if not key.allows_list:
         return bare(key)
     members = st.builds(TypedValue, bare(key), KINDS)
     return bare(key) | st.lists(members, min_size=1, max_size=4).map(tuple)
@@ -47,7 +47,7 @@
             **{
                 n: v
                 for n, v in parts[0].items()
-                if v != keys[n].omitted or type(v) is not type(keys[n].omitted)
+                if v != keys[n].omitted_value or type(v) is not type(keys[n].omitted_value)
             },
             **parts[1],
         }
@@ -57,7 +57,7 @@
 WIDE = Bounds(100_000, 200)
 
 
-@given(valid(CMCD))
+@given(valid(CMCD_KEYS))
 def test_every_carrier_of_cmcd_gives_back_what_was_written(values: dict[str, Any]) -> None:
     headers = {name.lower(): text for name, text in cmcd.write_headers(values).items()}
     assert cmcd.read_headers(headers, WIDE).values == values
@@ -65,7 +65,10 @@
     assert cmcd.read_json(cmcd.write_json(values), WIDE).values == values
 
 
-@given(valid({name: key for name, key in CMCD.items() if name != "e"}), st.sampled_from(CMCD["e"].tokens))
+@given(
+    valid({name: key for name, key in CMCD_KEYS.items() if name != "e"}),
+    st.sampled_from(CMCD_KEYS["e"].tokens),
+)
 def test_reports_give_back_what_was_written(values: dict[str, Any], event: str) -> None:
     reports = [{**values, "e": event}, {"e": "t"}]
     got, read = cmcd.read_reports(cmcd.write_reports(reports), WIDE)
@@ -76,7 +79,10 @@
     return {name.lower(): value for name, value in values.items()}
 
 
-@given(valid(CMSD_STATIC), st.lists(st.builds(cmsd.Hop, TEXT, valid(CMSD_DYNAMIC).map(small)), max_size=5))
+@given(
+    valid(CMSD_STATIC_KEYS),
+    st.lists(st.builds(cmsd.Hop, TEXT, valid(CMSD_DYNAMIC_KEYS).map(small)), max_size=5),
+)
 def test_cmsd_gives_back_what_was_written(values: dict[str, Any], hops: list[cmsd.Hop]) -> None:
     assert cmsd.read_static(cmsd.write_static(values), WIDE).values == values
     got, read = cmsd.read_dynamic(cmsd.write_dynamic(hops), WIDE)
@@ -126,16 +132,16 @@
 
 @pytest.mark.parametrize(("text", "values", "lost"), MALFORMED)
 def test_a_malformed_key_costs_that_key(text: str, values: dict[str, Any], lost: dict[str, int]) -> None:
-    read = read_dictionary(text, CMCD, Bounds())
+    read = read_dictionary(text, CMCD_KEYS, Bounds())
     assert (read.values, read.lost) == (values, lost)
 
 
 def test_bounds_are_kept_and_said() -> None:
-    assert read_dictionary("a-b=1," * 1000, CMCD, Bounds()).lost == {"too-long": 1}
+    assert read_dictionary("a-b=1," * 1000, CMCD_KEYS, Bounds()).lost == {"too-long": 1}
     many = ",".join(f"k-{n}=1" for n in range(70))
-    read = read_dictionary(many, CMCD, Bounds())
+    read = read_dictionary(many, CMCD_KEYS, Bounds())
     assert len(read.values) == 64 and read.lost == {"too-many-keys": 6}
-    assert read_dictionary(f"br=({'1 ' * 40})", CMCD, Bounds()).lost == {"list-too-long": 1}
+    assert read_dictionary(f"br=({'1 ' * 40})", CMCD_KEYS, Bounds()).lost == {"list-too-long": 1}
     got, read = cmcd.read_reports(b"\n".join([b"e=t"] * 120))
     assert len(got) == 100 and read.lost == {"too-many-reports": 20}
     hops, read = cmsd.read_dynamic(",".join(f'"h{n}";mb=1' for n in range(20)))
@@ -178,7 +184,9 @@
 
 
 def test_every_key_has_its_header_and_a_custom_token_stays_one() -> None:
-    assert {key.group for key in CMCD.values()} == set(cmcd.HEADERS) and Group.STATIC not in cmcd.HEADERS
+    assert {key.header for key in CMCD_KEYS.values()} == set(
+        cmcd.HEADERS
+    ) and Header.STATIC not in cmcd.HEADERS
     read = cmcd.read_headers({"cmcd-status": "x-mode=fast"})
     assert read.values == {"x-mode": Token("fast")}
     assert cmcd.write_headers(read.values) == {"CMCD-Session": "x-mode=fast"}
