--- a/ponddoor/hints/intake.py
+++ b/ponddoor/hints/intake.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass, field, replace
 from typing import Any
 
-from ponddoor.hints.cmcd import one_of
+from ponddoor.hints.cmcd import main_value
 from ponddoor.hints.fields import Values
 from ponddoor.hints.trust import Source, Trust
 from ponddoor.interface.events import Means, ServerHint
@@ -215,7 +215,7 @@
             top_kb=min(top_rates) * KB_PER_KBIT if top_rates else None,
             buffer=None if numbers["bl"] is None else round(numbers["bl"] * 1000),
             due=None if numbers["dl"] is None else round(numbers["dl"] * 1000),
-            starved=one_of(values.get("bs")) is True,
+            starved=main_value(values.get("bs")) is True,
         )
         if means == Means(means.taken):
             self.count("dropped nothing-in-it")
@@ -313,5 +313,5 @@
 
 
 def _to_number(value: Any) -> float | None:
-    number = one_of(value)
+    number = main_value(value)
     return float(number) if isinstance(number, (int, float)) and not isinstance(number, bool) else None
--- a/tests/hints/test_codecs.py
+++ b/tests/hints/test_codecs.py
@@ -179,8 +179,8 @@
 
 
 def test_the_value_that_matters_of_a_list() -> None:
-    assert cmcd.one_of((TypedValue(128, "a"), TypedValue(900, "v"))) == 900
-    assert cmcd.one_of((TypedValue(128, "a"),)) == 128 and cmcd.one_of(7) == 7
+    assert cmcd.main_value((TypedValue(128, "a"), TypedValue(900, "v"))) == 900
+    assert cmcd.main_value((TypedValue(128, "a"),)) == 128 and cmcd.main_value(7) == 7
 
 
 def test_every_key_has_its_header_and_a_custom_token_stays_one() -> None:
