--- a/ponddoor/hints/__init__.py
+++ b/ponddoor/hints/__init__.py
@@ -1,1 +1,1 @@
-"""Hints of players and media servers: CMCD (CTA-5004), CMSD (CTA-5006), and what a front makes of them."""
+"""Hints of players (CMCD, CTA-5004) and of media servers (CMSD, CTA-5006): codecs, checks and trust."""
--- a/ponddoor/hints/cmsd.py
+++ b/ponddoor/hints/cmsd.py
@@ -1,4 +1,7 @@
-"""CMSD (CTA-5006): what servers and intermediaries say, static and dynamic. Free of I/O."""
+"""Reads and writes CMSD (CTA-5006): the hints of media servers and intermediaries in response headers.
+
+Free of I/O. CMSD-Static describes the object; CMSD-Dynamic has an entry of each hop that the response passed.
+Reading raises no error on bad input but counts what is lost."""
 
 from dataclasses import dataclass, field
 
@@ -17,36 +20,40 @@
 from ponddoor.hints.keys import CMSD_DYNAMIC_KEYS, CMSD_STATIC_KEYS, MAX_STRING_CHARACTERS
 
 STATIC_HEADER, DYNAMIC_HEADER = "CMSD-Static", "CMSD-Dynamic"
-MOST_HOPS = 16
-BOUNDS = Bounds()
+MAX_HOPS = 16
+DEFAULT_BOUNDS = Bounds()
 
 
 @dataclass(frozen=True, slots=True)
 class Hop:
-    """What one intermediary says; the first in the header is the origin, the last is next to the player."""
+    """The entry of one server or intermediary in CMSD-Dynamic.
+
+    The first entry in the header is the origin's, the last is that of the hop nearest to the player."""
 
     name: str
     values: Values = field(default_factory=dict)
 
 
-def read_static(text: str, bounds: Bounds = BOUNDS) -> ReadResult:
+def read_static(text: str, bounds: Bounds = DEFAULT_BOUNDS) -> ReadResult:
     return read_dictionary(text, CMSD_STATIC_KEYS, bounds)
 
 
 def write_static(values: Values) -> str:
-    """Raises ValueError where a value can't be written."""
+    """The CMSD-Static header. Raises ValueError if a value can't be written."""
     return ",".join(serialize_members(values, CMSD_STATIC_KEYS).values())
 
 
-def read_dynamic(text: str, bounds: Bounds = BOUNDS) -> tuple[list[Hop], ReadResult]:
-    """The intermediaries in order, and what was lost. An entry without a name costs that entry."""
+def read_dynamic(text: str, bounds: Bounds = DEFAULT_BOUNDS) -> tuple[list[Hop], ReadResult]:
+    """Reads the entries of CMSD-Dynamic. Returns them in order, and what was lost.
+
+    An entry without a valid name is lost alone."""
     read, hops = ReadResult(), list[Hop]()
     members = parse(text, "list", bounds, read)
-    for number, member in enumerate(members or []):
-        if number >= MOST_HOPS:
-            read.add_lost("too-many-hops", len(members) - number)
+    for index, member in enumerate(members or []):
+        if index >= MAX_HOPS:
+            read.add_lost("too-many-hops", len(members) - index)
             break
-        name, about = member
+        name, parameters = member
         if (
             not isinstance(name, str)
             or isinstance(name, http_sf.Token)
@@ -54,29 +61,33 @@
         ):
             read.add_lost("malformed-hop")
             continue
-        inner = ReadResult()
-        add_valid_members(about, CMSD_DYNAMIC_KEYS, bounds, inner)
-        for why, times in inner.lost.items():
-            read.add_lost(why, times)
-        hops.append(Hop(name, inner.values))
+        hop_read = ReadResult()
+        add_valid_members(parameters, CMSD_DYNAMIC_KEYS, bounds, hop_read)
+        for reason, times in hop_read.lost.items():
+            read.add_lost(reason, times)
+        hops.append(Hop(name, hop_read.values))
     return hops, read
 
 
 def write_dynamic(hops: list[Hop]) -> str:
-    """Raises ValueError where a value can't be written."""
-    made = []
+    """The CMSD-Dynamic header. Raises ValueError if a name or a value can't be written."""
+    entries = []
     for hop in hops:
         try:
-            made.append(http_sf.ser([(hop.name, {})]))
-        except StructuredFieldError as problem:
-            raise ValueError(f"{hop.name!r} can't be an intermediary's name: {problem}") from None
+            entries.append(http_sf.ser([(hop.name, {})]))
+        except StructuredFieldError as error:
+            raise ValueError(f"{hop.name!r} can't be an intermediary's name: {error}") from None
         if any(name != name.lower() for name in hop.values):
-            raise ValueError(f"{hop.name}: a parameter has no capitals")
-        made[-1] += "".join(f";{text}" for text in serialize_members(hop.values, CMSD_DYNAMIC_KEYS).values())
-    return ",".join(made)
+            raise ValueError(f"{hop.name}: a key in CMSD-Dynamic may have no capitals")
+        entries[-1] += "".join(
+            f";{text}" for text in serialize_members(hop.values, CMSD_DYNAMIC_KEYS).values()
+        )
+    return ",".join(entries)
+
 
+def append_hop(text: str | None, hop: Hop, bounds: Bounds = DEFAULT_BOUNDS) -> str:
+    """The CMSD-Dynamic header that an intermediary passes on: the entries that it can read, then its own.
 
-def appended(text: str | None, hop: Hop, bounds: Bounds = BOUNDS) -> str:
-    """A header as an intermediary passes it on: with its own entry last; what can't be read is left out."""
+    At most MAX_HOPS entries are kept. Raises ValueError if an entry can't be written."""
     hops, _ = read_dynamic(text or "", bounds)
-    return write_dynamic([*hops[: MOST_HOPS - 1], hop])
+    return write_dynamic([*hops[: MAX_HOPS - 1], hop])
--- a/tests/hints/test_codecs.py
+++ b/tests/hints/test_codecs.py
@@ -173,9 +173,9 @@
 
 
 def test_an_intermediary_adds_itself_last_and_keeps_what_it_can_read() -> None:
-    text = cmsd.appended('"origin";etp=96;du;x-own=3, 5', cmsd.Hop("front", {"mb": 2500}))
+    text = cmsd.append_hop('"origin";etp=96;du;x-own=3, 5', cmsd.Hop("front", {"mb": 2500}))
     assert text == '"origin";du;etp=96;x-own=3,"front";mb=2500'
-    assert cmsd.appended(None, cmsd.Hop("front")) == '"front"'
+    assert cmsd.append_hop(None, cmsd.Hop("front")) == '"front"'
 
 
 def test_the_value_that_matters_of_a_list() -> None:
