--- a/tests/hints/test_codecs.py
+++ b/tests/hints/test_codecs.py
@@ -1,4 +1,4 @@
-"""The codecs of hints: inverse on all valid values, and nothing malformed costs more than itself."""
+"""The codecs of hints: what is written reads back the same, and malformed input costs only itself."""
 
 from typing import Any
 
@@ -12,11 +12,11 @@
 from ponddoor.hints.keys import CMCD_KEYS, CMSD_DYNAMIC_KEYS, CMSD_STATIC_KEYS, Header, Key, Kind
 
 TEXT = st.text(st.characters(min_codepoint=0x20, max_codepoint=0x7E), min_size=1, max_size=40)
-KINDS = st.sampled_from(["", "v", "a", "av"])
+OBJECT_TYPES = st.sampled_from(["", "v", "a", "av"])
 TABLES: list[dict[str, Key]] = [CMCD_KEYS, CMSD_STATIC_KEYS, CMSD_DYNAMIC_KEYS]
 
 
-def bare(key: Key) -> st.SearchStrategy[Any]:
+def items(key: Key) -> st.SearchStrategy[Any]:
     match key.kind:
         case Kind.INTEGER:
             return st.integers(0, 10**9).map(lambda n: n * key.rounding_step)
@@ -30,70 +30,72 @@
             return st.sampled_from(key.tokens)
 
 
-def value(key: Key) -> st.SearchStrategy[Any]:
+def key_values(key: Key) -> st.SearchStrategy[Any]:
     if not key.allows_list:
-        return bare(key)
-    members = st.builds(TypedValue, bare(key), KINDS)
-    return bare(key) | st.lists(members, min_size=1, max_size=4).map(tuple)
+        return items(key)
+    members = st.builds(TypedValue, items(key), OBJECT_TYPES)
+    return items(key) | st.lists(members, min_size=1, max_size=4).map(tuple)
 
 
-def valid(keys: dict[str, Key]) -> st.SearchStrategy[dict[str, Any]]:
-    """Values that a sender would send: without those that say nothing."""
-    known = st.fixed_dictionaries({}, optional={name: value(key) for name, key in keys.items()})
-    name = st.from_regex(r"com\.[a-z]{1,8}-[A-Za-z]{1,8}", fullmatch=True)
-    own = st.dictionaries(name, st.integers(0, 999) | st.booleans() | TEXT, max_size=2)
-    return st.tuples(known, own).map(
+def valid_values(keys: dict[str, Key]) -> st.SearchStrategy[dict[str, Any]]:
+    """Values as a sender may send them: without those that absence implies."""
+    known = st.fixed_dictionaries({}, optional={name: key_values(key) for name, key in keys.items()})
+    custom_name = st.from_regex(r"com\.[a-z]{1,8}-[A-Za-z]{1,8}", fullmatch=True)
+    custom = st.dictionaries(custom_name, st.integers(0, 999) | st.booleans() | TEXT, max_size=2)
+    return st.tuples(known, custom).map(
         lambda parts: {
             **{
-                n: v
-                for n, v in parts[0].items()
-                if v != keys[n].omitted_value or type(v) is not type(keys[n].omitted_value)
+                name: value
+                for name, value in parts[0].items()
+                if value != keys[name].omitted_value or type(value) is not type(keys[name].omitted_value)
             },
             **parts[1],
         }
     )
 
 
-WIDE = Bounds(100_000, 200)
+WIDE_BOUNDS = Bounds(100_000, 200)
 
 
-@given(valid(CMCD_KEYS))
-def test_every_carrier_of_cmcd_gives_back_what_was_written(values: dict[str, Any]) -> None:
+@given(valid_values(CMCD_KEYS))
+def test_every_cmcd_carrier_reads_back_what_was_written(values: dict[str, Any]) -> None:
     headers = {name.lower(): text for name, text in cmcd.write_headers(values).items()}
-    assert cmcd.read_headers(headers, WIDE).values == values
-    assert cmcd.read_query("a=1&" + cmcd.write_query(values) + "&b=2", WIDE).values == values
-    assert cmcd.read_json(cmcd.write_json(values), WIDE).values == values
+    assert cmcd.read_headers(headers, WIDE_BOUNDS).values == values
+    assert cmcd.read_query("a=1&" + cmcd.write_query(values) + "&b=2", WIDE_BOUNDS).values == values
+    assert cmcd.read_json(cmcd.write_json(values), WIDE_BOUNDS).values == values
 
 
 @given(
-    valid({name: key for name, key in CMCD_KEYS.items() if name != "e"}),
+    valid_values({name: key for name, key in CMCD_KEYS.items() if name != "e"}),
     st.sampled_from(CMCD_KEYS["e"].tokens),
 )
-def test_reports_give_back_what_was_written(values: dict[str, Any], event: str) -> None:
+def test_reports_read_back_what_was_written(values: dict[str, Any], event: str) -> None:
     reports = [{**values, "e": event}, {"e": "t"}]
-    got, read = cmcd.read_reports(cmcd.write_reports(reports), WIDE)
-    assert got == reports and not read.lost
+    reports_read, read = cmcd.read_reports(cmcd.write_reports(reports), WIDE_BOUNDS)
+    assert reports_read == reports and not read.lost
 
 
-def small(values: dict[str, Any]) -> dict[str, Any]:
+def with_lower_case_names(values: dict[str, Any]) -> dict[str, Any]:
     return {name.lower(): value for name, value in values.items()}
 
 
 @given(
-    valid(CMSD_STATIC_KEYS),
-    st.lists(st.builds(cmsd.Hop, TEXT, valid(CMSD_DYNAMIC_KEYS).map(small)), max_size=5),
+    valid_values(CMSD_STATIC_KEYS),
+    st.lists(
+        st.builds(cmsd.Hop, TEXT, valid_values(CMSD_DYNAMIC_KEYS).map(with_lower_case_names)), max_size=5
+    ),
 )
-def test_cmsd_gives_back_what_was_written(values: dict[str, Any], hops: list[cmsd.Hop]) -> None:
-    assert cmsd.read_static(cmsd.write_static(values), WIDE).values == values
-    got, read = cmsd.read_dynamic(cmsd.write_dynamic(hops), WIDE)
-    assert got == hops and not read.lost
+def test_cmsd_reads_back_what_was_written(values: dict[str, Any], hops: list[cmsd.Hop]) -> None:
+    assert cmsd.read_static(cmsd.write_static(values), WIDE_BOUNDS).values == values
+    hops_read, read = cmsd.read_dynamic(cmsd.write_dynamic(hops), WIDE_BOUNDS)
+    assert hops_read == hops and not read.lost
 
 
 @given(st.text(max_size=200) | st.binary(max_size=200).map(lambda raw: raw.decode("latin-1")))
 @settings(max_examples=300)
-def test_no_text_raises_and_what_is_kept_can_be_written(text: str) -> None:
+def test_reading_any_text_raises_nothing_and_values_read_can_be_written(text: str) -> None:
     for keys in TABLES:
-        read = read_dictionary(text, keys, WIDE)
+        read = read_dictionary(text, keys, WIDE_BOUNDS)
         assert not text.strip() or read.values or read.lost
     kept = cmcd.read_headers({"cmcd-request": text}).values
     assert cmcd.read_headers({k.lower(): v for k, v in cmcd.write_headers(kept).items()}).values is not None
@@ -103,13 +105,15 @@
     cmsd.write_dynamic(cmsd.read_dynamic(text)[0])
 
 
-LEAVES = st.none() | st.booleans() | st.floats() | st.integers() | st.text(max_size=9)
+JSON_LEAVES = st.none() | st.booleans() | st.floats() | st.integers() | st.text(max_size=9)
 
 
 @given(
-    st.recursive(LEAVES, lambda one: st.lists(one, max_size=3) | st.dictionaries(st.text(max_size=3), one))
+    st.recursive(
+        JSON_LEAVES, lambda child: st.lists(child, max_size=3) | st.dictionaries(st.text(max_size=3), child)
+    )
 )
-def test_no_json_raises(members: Any) -> None:
+def test_reading_any_json_raises_nothing(members: Any) -> None:
     cmcd.read_members(members)
     cmcd.read_members({"br": members, "mtp": [members], "x-y": members})
 
@@ -131,24 +135,24 @@
 
 
 @pytest.mark.parametrize(("text", "values", "lost"), MALFORMED)
-def test_a_malformed_key_costs_that_key(text: str, values: dict[str, Any], lost: dict[str, int]) -> None:
+def test_a_malformed_key_costs_only_that_key(text: str, values: dict[str, Any], lost: dict[str, int]) -> None:
     read = read_dictionary(text, CMCD_KEYS, Bounds())
     assert (read.values, read.lost) == (values, lost)
 
 
-def test_bounds_are_kept_and_said() -> None:
+def test_bounds_are_enforced_and_the_excess_is_counted() -> None:
     assert read_dictionary("a-b=1," * 1000, CMCD_KEYS, Bounds()).lost == {"too-long": 1}
-    many = ",".join(f"k-{n}=1" for n in range(70))
-    read = read_dictionary(many, CMCD_KEYS, Bounds())
+    many_keys = ",".join(f"k-{n}=1" for n in range(70))
+    read = read_dictionary(many_keys, CMCD_KEYS, Bounds())
     assert len(read.values) == 64 and read.lost == {"too-many-keys": 6}
     assert read_dictionary(f"br=({'1 ' * 40})", CMCD_KEYS, Bounds()).lost == {"list-too-long": 1}
-    got, read = cmcd.read_reports(b"\n".join([b"e=t"] * 120))
-    assert len(got) == 100 and read.lost == {"too-many-reports": 20}
+    reports, read = cmcd.read_reports(b"\n".join([b"e=t"] * 120))
+    assert len(reports) == 100 and read.lost == {"too-many-reports": 20}
     hops, read = cmsd.read_dynamic(",".join(f'"h{n}";mb=1' for n in range(20)))
     assert len(hops) == 16 and read.lost == {"too-many-hops": 4}
 
 
-def test_carriers_that_disagree_are_not_believed_and_folded_headers_are_read() -> None:
+def test_a_key_with_conflicting_values_is_lost_and_keys_in_the_wrong_header_are_read() -> None:
     headers = {"cmcd-request": "mtp=1000,bl=200", "cmcd-session": "v=2,tb=900"}
     read = cmcd.read_request(headers, "mtp=9000,bl=200", {"sf": "d"})
     assert read.values == {"bl": 200, "v": 2, "tb": 900, "sf": "d"}
@@ -156,7 +160,7 @@
     assert cmcd.read_query("CMCD=bl%3D1&CMCD=bl%3D2").lost == {"argument-twice": 1}
 
 
-def test_units_are_rounded_and_silent_values_left_out() -> None:
+def test_values_are_rounded_implied_values_left_out_and_unwritable_ones_refused() -> None:
     values = {"bl": 21_349, "mtp": 25_451, "dl": 50, "d": 4004, "bs": False, "pr": 1.0, "v": 1, "sf": "h"}
     assert cmcd.write_headers(values) == {
         "CMCD-Object": "d=4004",
@@ -165,25 +169,25 @@
     }
     with pytest.raises(ValueError, match="no capitals"):
         cmsd.write_dynamic([cmsd.Hop("a", {"x-A": 1})])
-    for broken in ({"sf": "\n"}, {"com.a-b": object()}, {"no key": 1}, {"cid": "\u00e9"}):
+    for unwritable in ({"sf": "\n"}, {"com.a-b": object()}, {"no key": 1}, {"cid": "\u00e9"}):
         with pytest.raises(ValueError, match="can't be written"):
-            cmcd.write_headers(broken)
+            cmcd.write_headers(unwritable)
     with pytest.raises(ValueError, match="needs its event"):
         cmcd.write_reports([{"bl": 1}])
 
 
-def test_an_intermediary_adds_itself_last_and_keeps_what_it_can_read() -> None:
+def test_an_intermediary_appends_its_entry_and_keeps_those_that_it_can_read() -> None:
     text = cmsd.append_hop('"origin";etp=96;du;x-own=3, 5', cmsd.Hop("front", {"mb": 2500}))
     assert text == '"origin";du;etp=96;x-own=3,"front";mb=2500'
     assert cmsd.append_hop(None, cmsd.Hop("front")) == '"front"'
 
 
-def test_the_value_that_matters_of_a_list() -> None:
+def test_the_main_value_of_a_list_is_that_of_video_else_the_first() -> None:
     assert cmcd.main_value((TypedValue(128, "a"), TypedValue(900, "v"))) == 900
     assert cmcd.main_value((TypedValue(128, "a"),)) == 128 and cmcd.main_value(7) == 7
 
 
-def test_every_key_has_its_header_and_a_custom_token_stays_one() -> None:
+def test_every_key_has_a_cmcd_header_and_a_custom_token_stays_a_token() -> None:
     assert {key.header for key in CMCD_KEYS.values()} == set(
         cmcd.HEADERS
     ) and Header.STATIC not in cmcd.HEADERS
