--- a/ponddoor/hints/cmcd.py
+++ b/ponddoor/hints/cmcd.py
@@ -174,7 +174,8 @@
 
 def write_json(values: Values) -> bytes:
     """The JSON object. Raises ValueError if a value can't be written."""
-    serialize_members(values, CMCD_KEYS)  # the result is unused: only to check as for the other carriers
+    # Called only for its checks, so that all carriers raise the same errors
+    serialize_members(values, CMCD_KEYS)
     members: dict[str, object] = {}
     for name in sorted(values):
         key = CMCD_KEYS.get(name)
--- a/ponddoor/hints/fields.py
+++ b/ponddoor/hints/fields.py
@@ -52,14 +52,14 @@
     def add_lost(self, reason: str, times: int = 1) -> None:
         self.lost[reason] = self.lost.get(reason, 0) + times
 
-    def merge(self, other: "ReadResult") -> None:
+    def merge(self, addition: "ReadResult") -> None:
         """Adds another part of the same carrier. A key that occurs twice keeps its first value."""
-        for name, value in other.values.items():
+        for name, value in addition.values.items():
             if name in self.values:
                 self.add_lost("key-twice")
             else:
                 self.values[name] = value
-        for reason, times in other.lost.items():
+        for reason, times in addition.lost.items():
             self.add_lost(reason, times)
 
 
--- a/ponddoor/hints/intake.py
+++ b/ponddoor/hints/intake.py
@@ -22,9 +22,7 @@
 SECOND = 1_000_000  # in microseconds
 KB_PER_KBIT = 1 / 8
 MAX_AGE_US = 10 * SECOND
-MAX_CLOCK_AHEAD_US = (
-    SECOND  # a hint's stated age may be negative by this much, if its source's clock is ahead
-)
+MAX_CLOCK_AHEAD_US = SECOND  # a source's clock may be ahead of ours: an age may be negative by this much
 MIN_HINT_INTERVAL_US = SECOND // 2  # between the hints used of one session; a new starvation is exempt
 MAX_HINTS_PER_S = 2000  # over all players
 MEASUREMENT_LIFETIME_US = 4 * SECOND  # an older measurement is not compared with hints
@@ -203,7 +201,7 @@
         return True
 
     def _to_means(self, now: int, values: Values, age: int) -> Means | None:
-        """Converts CMCD values to our units. Returns None if their age is out of range or none is of use."""
+        """Converts CMCD values to our units. Returns None if their age is out of range or none is used."""
         if not -MAX_CLOCK_AHEAD_US <= age <= MAX_AGE_US:
             self.count("dropped too-old" if age > 0 else "dropped from-the-future")
             return None
@@ -223,7 +221,7 @@
         return means
 
     def _contradiction(self, now: int, session: MeasuredSession, means: Means) -> str | None:
-        """How a hint contradicts the measurements: "" if it agrees, None if there is no fresh one."""
+        """How a hint contradicts the measurements: "" if it agrees, None if none is recent."""
         server = self.servers.get(session.server)
         if (
             server is None
