--- a/ponddoor/front/hinting.py
+++ b/ponddoor/front/hinting.py
@@ -7,7 +7,7 @@
 from ponddoor.front.effects import Effect, ViewerRequest
 from ponddoor.front.engine import Engine, Phase, SessionRecord
 from ponddoor.hints import cmcd, cmsd
-from ponddoor.hints.fields import Read, Values
+from ponddoor.hints.fields import ReadResult, Values
 from ponddoor.hints.intake import KB_PER_KBIT, Intake
 from ponddoor.interface.events import Means, ServerHint
 from ponddoor.settings.site import Site
@@ -40,37 +40,37 @@
         read = self._read(request, body)
         if not read.values:
             return None
-        return self.intake.asked(self.clock(), *self._source(viewer_request), read.values)
+        return self.intake.accept_request_hints(self.clock(), *self._source(viewer_request), read.values)
 
     def take_reports(self, sess: str, request: Request) -> int:
         """Handles a player's reports on its session. Returns how many were accepted. Raises HttpError 415."""
         media_type = request.headers.get("content-type", "").partition(";")[0].strip().lower()
         now = self.clock()
-        if media_type == cmcd.REPORTS:
+        if media_type == cmcd.REPORT_MEDIA_TYPE:
             reports, read = cmcd.read_reports(request.body)
-            self.intake.lost(read.lost)
+            self.intake.count_lost(read.lost)
         elif media_type in ("", "application/json"):
             body = decoded(request.body, dict[str, Any]) if request.body else None
             reports = [self._read(request, body).values]
         else:
             raise HttpError(
-                415, "unknown-media-type", f"{media_type[:100]}: {cmcd.REPORTS} or application/json"
+                415, "unknown-media-type", f"{media_type[:100]}: {cmcd.REPORT_MEDIA_TYPE} or application/json"
             )
         return sum(
             self._take_player_hint(now, sess, values, age_us, "report")
             for values, age_us in _reports_with_age(reports)
         )
 
-    def _read(self, request: Request, body: dict[str, Any] | None) -> Read:
+    def _read(self, request: Request, body: dict[str, Any] | None) -> ReadResult:
         """Reads the hints on a request from its headers, query and body."""
-        read = cmcd.read_request(request.headers, request.query.get(cmcd.ARGUMENT, ""), body)
-        self.intake.lost(read.lost)
+        read = cmcd.read_request(request.headers, request.query.get(cmcd.QUERY_ARGUMENT, ""), body)
+        self.intake.count_lost(read.lost)
         return read
 
     def _take_player_hint(self, now: int, sess: str, values: Values, age_us: int, origin: str) -> bool:
         """Passes a player's hint to the engine. Returns whether it was accepted."""
         self._update_session(now, sess)
-        means = self.intake.told(now, sess, values, age_us, origin)
+        means = self.intake.accept_session_hints(now, sess, values, age_us, origin)
         if means is not None:
             self.apply(lambda engine_now: self.engine.player_hint(engine_now, sess, means))
         return means is not None
@@ -79,9 +79,11 @@
         """Tells the intake the state of a session that a hint is about."""
         record = self.engine.find(sess)
         if record is None or record.phase is not Phase.PLAYING:
-            self.intake.over(sess)
+            self.intake.remove_session(sess)
         else:
-            self.intake.playing(now, sess, *self._source(record.request), record.server, record.rate_kb)
+            self.intake.update_session(
+                now, sess, *self._source(record.request), record.server, record.rate_kb
+            )
 
     def _source(self, viewer_request: ViewerRequest) -> tuple[str, str]:
         """The viewer and the tenant whose trust applies to a session's hints; each empty if not given."""
@@ -91,7 +93,7 @@
         ].name if tenants else ""
 
     def session_ended(self, sess: str) -> None:
-        self.intake.over(sess)
+        self.intake.remove_session(sess)
 
     # From servers
 
@@ -109,13 +111,13 @@
             return
         now = self.clock()
         read = cmcd.read_headers(headers)
-        self.intake.lost(read.lost)
+        self.intake.count_lost(read.lost)
         if received_kb > 0:
             self._update_session(now, sess)
             hops, dynamic_read = cmsd.read_dynamic(dynamic)
-            self.intake.lost(dynamic_read.lost)
+            self.intake.count_lost(dynamic_read.lost)
             offered = hops[-1].values.get("etp", 0) if hops else 0
-            self.intake.took(now - age_us, sess, received_kb, offered * KB_PER_KBIT)
+            self.intake.record_session_rate(now - age_us, sess, received_kb, offered * KB_PER_KBIT)
         if read.values:
             self._take_player_hint(now, sess, read.values, age_us, "passed-on")
 
@@ -123,29 +125,29 @@
         """Handles a server's CMSD. Its last entry is the server's own, as that of the hop nearest to us."""
         hops, read = cmsd.read_dynamic(dynamic)
         static_read = cmsd.read_static(static)
-        read.take(static_read)
-        self.intake.lost(read.lost)
+        read.merge(static_read)
+        self.intake.count_lost(read.lost)
         if not hops:
             return
         values = hops[-1].values | {
             name: static_read.values[name] for name in ("ht",) if name in static_read.values
         }
-        hint = self.intake.server_said(self.clock(), server, values, age_us)
+        hint = self.intake.accept_server_hints(self.clock(), server, values, age_us)
         if hint is not None:
             self.servers[server] = hint
             self.apply(lambda now: self.engine.server_hint(now, hint))
 
     def server_delivered(self, server: int, share: float) -> None:
         """Handles the delivered share that a server reports."""
-        self.intake.measured(self.clock(), server, share)
+        self.intake.record_server_share(self.clock(), server, share)
 
     def server_alive(self, server: int) -> None:
         """Handles a note without a share: the server is taken to deliver the last known share still."""
         source = self.intake.servers.get(server)
-        self.intake.measured(self.clock(), server, source.share if source is not None else 1.0)
+        self.intake.record_server_share(self.clock(), server, source.share if source is not None else 1.0)
 
     def server_gone(self, server: int) -> None:
-        self.intake.gone(server)
+        self.intake.remove_server(server)
         self.servers.pop(server, None)
 
     # To players
