--- a/ponddoor/cli.py
+++ b/ponddoor/cli.py
@@ -782,10 +782,10 @@
 def relay(port: int, servers: tuple[str, ...]) -> None:
     """The bare relay, before media servers HOST:PORT."""
     from ponddoor.load.relay import Relay
-    from ponddoor.web.server import Bounds, Server
+    from ponddoor.web.server import Server, ServerLimits
 
     made = Relay([(host, int(at)) for host, _, at in (text.rpartition(":") for text in servers)])
-    web = Server(made.handle, Bounds(connections=50_000, per_address=50_000))
+    web = Server(made.handle, ServerLimits(max_connections=50_000, max_connections_per_address=50_000))
 
     async def work() -> None:
         await web.start("127.0.0.1", port)
--- a/ponddoor/config/commands.py
+++ b/ponddoor/config/commands.py
@@ -31,7 +31,7 @@
 from ponddoor.store.files import DiskError, LockedError
 from ponddoor.store.journal import DamagedError
 from ponddoor.web.client import Answer, BrokenError, LateError, NotSentError, Pool
-from ponddoor.web.server import Bounds, Server
+from ponddoor.web.server import Server, ServerLimits
 
 TRIES = 20
 PAUSE = 0.3
@@ -362,7 +362,7 @@
     connections = _connections()
     api = Api(member, {number: one.api for number, one in held.members.items()})
     api.most_watchers = min(MOST_WATCHERS, connections // 2)
-    bounds = Bounds(connections, connections, body_bytes=member.limits.entry_bytes)
+    bounds = ServerLimits(connections, connections, max_body_bytes=member.limits.entry_bytes)
     web = Server(api.handle, bounds)
 
     async def work() -> None:
--- a/ponddoor/front/process.py
+++ b/ponddoor/front/process.py
@@ -49,7 +49,7 @@
 from ponddoor.settings.limits import Limits
 from ponddoor.settings.sexpr import SettingsError
 from ponddoor.settings.site import FollowSide, Site, load
-from ponddoor.web.server import Bounds, Server
+from ponddoor.web.server import Server, ServerLimits
 from ponddoor.web.timing import within
 
 # At a stop, how long requests that have arrived may take to be answered.
@@ -58,8 +58,8 @@
 DecisionsFactory = Callable[[SiteFacts, int], Decisions]
 
 
-def http_bounds(limits: Limits) -> Bounds:
-    return Bounds(
+def http_bounds(limits: Limits) -> ServerLimits:
+    return ServerLimits(
         limits.connections,
         limits.per_address,
         limits.header_bytes,
@@ -130,7 +130,9 @@
             hinting = Hinting(site, me, self.engine, self.apply, clock)
             self.hinting = self.viewers.hinting = self.servers.hinting = hinting
         self.web = Server(self.viewers.handle, http_bounds(site.limits))
-        self.metrics_web = Server(self.metrics.handle, Bounds(connections=50, per_address=50))
+        self.metrics_web = Server(
+            self.metrics.handle, ServerLimits(max_connections=50, max_connections_per_address=50)
+        )
         self.active_mechanisms, self.dead_fronts = ActiveMechanisms(), DeadFronts()
         self._tasks: list[asyncio.Task[None]] = []
         self._stopping = asyncio.Event()
@@ -250,7 +252,7 @@
         self.site = site
         self._terms = self.viewers.terms = replace(self.terms, site=site)
         self.gate.limits = loaded.limits
-        self.web.bounds = http_bounds(loaded.limits)
+        self.web.limits = http_bounds(loaded.limits)
         log.info("reloaded")
         return True
 
@@ -312,7 +314,7 @@
         self.site = site = new_terms.site
         if self.hinting is not None:
             self.hinting.site = site
-        self.gate.limits, self.web.bounds = site.limits, http_bounds(site.limits)
+        self.gate.limits, self.web.limits = site.limits, http_bounds(site.limits)
         if self.seating is not None and site.seats != old_terms.site.seats:
             self.seating.set_limits(site.seats.limits)
         # The other facts are fixed at the start or are this front's own.
--- a/ponddoor/rehearse/hollow_process.py
+++ b/ponddoor/rehearse/hollow_process.py
@@ -28,7 +28,7 @@
 from ponddoor.settings.site import Site
 from ponddoor.standins.media import Fault
 from ponddoor.web.client import BrokenError, LateError, NotSentError, Pool
-from ponddoor.web.server import Bounds, HttpError, Reply, Request, Server, decoded
+from ponddoor.web.server import HttpError, Reply, Request, Server, ServerLimits, decoded
 
 LATE = 80_000  # us, about what a front waits for another's answer
 MOST_CHANGES = 500_000  # of who stands how, that are kept to be told
@@ -98,7 +98,9 @@
     roster: Roster = field(init=False)
 
     def __post_init__(self) -> None:
-        self._control = Server(self.handle, Bounds(connections=20, per_address=20, body_bytes=BODY))
+        self._control = Server(
+            self.handle, ServerLimits(max_connections=20, max_connections_per_address=20, max_body_bytes=BODY)
+        )
         self.roster = Roster(
             self.site.zones, self.site.kinds, self.site.facts.plant.cells, clock() - wall_clock_us()
         )
--- a/ponddoor/standins/listing.py
+++ b/ponddoor/standins/listing.py
@@ -15,7 +15,7 @@
 from ponddoor.front.roster import Entry, ListMessage
 from ponddoor.settings.site import Site
 from ponddoor.standins.capacity import Capacity, Verdict
-from ponddoor.web.server import Bounds, HttpError, Reply, Request, Server, decoded
+from ponddoor.web.server import HttpError, Reply, Request, Server, ServerLimits, decoded
 from ponddoor.web.timing import within
 
 HISTORY = 1000
@@ -61,8 +61,10 @@
         self.draining: set[int] = set()
         self.down = False
         self.news = asyncio.Event()
-        self.web = Server(self.handle, Bounds(idle_time=300))
-        self.control = Server(self.handle_control, Bounds(connections=20, per_address=20))
+        self.web = Server(self.handle, ServerLimits(idle_timeout_s=300))
+        self.control = Server(
+            self.handle_control, ServerLimits(max_connections=20, max_connections_per_address=20)
+        )
         self.tasks: set[asyncio.Task[None]] = set()
 
     async def start(self, port: int | None = None, control_port: int = 0) -> tuple[int, int]:
--- a/ponddoor/standins/media.py
+++ b/ponddoor/standins/media.py
@@ -20,7 +20,7 @@
 from ponddoor.hints import cmcd, cmsd
 from ponddoor.settings.site import Site
 from ponddoor.web.client import BrokenError, LateError, NotSentError, Pool
-from ponddoor.web.server import Bounds, HttpError, Reply, Request, Server, decoded
+from ponddoor.web.server import HttpError, Reply, Request, Server, ServerLimits, decoded
 from ponddoor.web.timing import within
 
 TICK = 0.1
@@ -112,8 +112,10 @@
         self.fallen = False
         self.rack_others, self.share, self.short_before = 0.0, 1.0, False
         self.history: deque[tuple[float, dict[str, float]]] = deque(maxlen=100)
-        self.web = Server(self.handle, Bounds(idle_time=300, write_time=30))
-        self.control = Server(self.handle_control, Bounds(connections=20, per_address=20))
+        self.web = Server(self.handle, ServerLimits(idle_timeout_s=300, write_timeout_s=30))
+        self.control = Server(
+            self.handle_control, ServerLimits(max_connections=20, max_connections_per_address=20)
+        )
         self.tasks: list[asyncio.Task[None]] = []
         self.delayed: set[asyncio.TimerHandle] = set()
 
--- a/ponddoor/web/server.py
+++ b/ponddoor/web/server.py
@@ -23,16 +23,16 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Bounds:
+class ServerLimits:
     """What one server takes. Times in seconds, sizes in bytes."""
 
-    connections: int = 10_000
-    per_address: int = 10_000
-    header_bytes: int = 16_000
-    body_bytes: int = 16_000
-    header_time: float = 5.0
-    idle_time: float = 60.0
-    write_time: float = 5.0
+    max_connections: int = 10_000
+    max_connections_per_address: int = 10_000
+    max_header_bytes: int = 16_000
+    max_body_bytes: int = 16_000
+    request_timeout_s: float = 5.0
+    idle_timeout_s: float = 60.0
+    write_timeout_s: float = 5.0
 
 
 class HttpError(Exception):
@@ -90,8 +90,8 @@
 class Server:
     """Serves one address. `closing` makes every answer the last of its connection."""
 
-    def __init__(self, handler: Handler, bounds: Bounds) -> None:
-        self._handler, self.bounds = handler, bounds
+    def __init__(self, handler: Handler, limits: ServerLimits) -> None:
+        self._handler, self.limits = handler, limits
         self._server: asyncio.Server | None = None
         self._connections: dict[asyncio.Task[None], _Connection] = {}
         self._lingering = 0
@@ -154,7 +154,10 @@
         held = self._by_address.get(peer, 0)
         if task is None:
             return
-        if len(self._connections) >= self.bounds.connections or held >= self.bounds.per_address:
+        if (
+            len(self._connections) >= self.limits.max_connections
+            or held >= self.limits.max_connections_per_address
+        ):
             # Guards against connections without end: the newcomer is told so, whoever is here stays served.
             self.turned_away += 1
             with contextlib.suppress(OSError):
@@ -205,9 +208,9 @@
         writer: asyncio.StreamWriter,
         peer: str,
     ) -> None:
-        self.server, self.handler, self.bounds = server, handler, server.bounds
+        self.server, self.handler, self.limits = server, handler, server.limits
         self.reader, self.writer, self.peer = reader, writer, peer
-        self.h11 = h11.Connection(h11.SERVER, max_incomplete_event_size=self.bounds.header_bytes)
+        self.h11 = h11.Connection(h11.SERVER, max_incomplete_event_size=self.limits.max_header_bytes)
         self.ended = False  # nothing more is written
         self.streaming = False  # the answer is a stream of lines
         self._begun = False  # a request has begun and is not answered
@@ -266,12 +269,12 @@
         head: h11.Request | None = None
         body = bytearray()
         loop, begun = asyncio.get_running_loop(), False
-        limit = loop.time() + self.bounds.idle_time
+        limit = loop.time() + self.limits.idle_timeout_s
         while True:
             event = self.h11.next_event()
             if event is h11.NEED_DATA:
                 if not begun and self.h11.trailing_data[0]:
-                    begun, limit = self._begin(), loop.time() + self.bounds.header_time
+                    begun, limit = self._begin(), loop.time() + self.limits.request_timeout_s
                 if self.h11.they_are_waiting_for_100_continue:
                     await self._send(h11.InformationalResponse(status_code=100, headers=[]))
                 data = await self._read(limit)
@@ -282,14 +285,14 @@
                 if data == b"" and head is None and not begun:
                     return None
                 if not begun and data:
-                    begun, limit = self._begin(), loop.time() + self.bounds.header_time
+                    begun, limit = self._begin(), loop.time() + self.limits.request_timeout_s
                 self.h11.receive_data(data)
             elif isinstance(event, h11.Request):
-                head, begun, limit = event, self._begin(), loop.time() + self.bounds.header_time
+                head, begun, limit = event, self._begin(), loop.time() + self.limits.request_timeout_s
             elif isinstance(event, h11.Data):
                 body += event.data
-                if len(body) > self.bounds.body_bytes:
-                    raise HttpError(413, "body-too-large", f"more than {self.bounds.body_bytes} bytes")
+                if len(body) > self.limits.max_body_bytes:
+                    raise HttpError(413, "body-too-large", f"more than {self.limits.max_body_bytes} bytes")
             elif isinstance(event, h11.EndOfMessage) and head is not None:
                 return self._made(head, bytes(body))
             elif isinstance(event, h11.ConnectionClosed):
@@ -353,7 +356,7 @@
         if data:
             self.writer.write(data)
         try:
-            async with asyncio.timeout(self.bounds.write_time):
+            async with asyncio.timeout(self.limits.write_timeout_s):
                 await self.writer.drain()
         except TimeoutError:  # guards against readers so slow that answers would pile up
             raise _ClosedError from None
--- a/tests/config/test_api.py
+++ b/tests/config/test_api.py
@@ -19,7 +19,7 @@
 from ponddoor.rehearse.run import free_ports
 from ponddoor.settings.sexpr import parse
 from ponddoor.web.client import Answer, Pool
-from ponddoor.web.server import Bounds, Server
+from ponddoor.web.server import Server, ServerLimits
 from ponddoor.web.timing import within
 from tests.config.test_machine import FILM, TEXT
 
@@ -39,7 +39,7 @@
             for n in range(count)
         ]
         self.made = [Api(member, self.apis, lambda: 5) for member in self.members]
-        self.webs = [Server(api.handle, Bounds(per_address=1000)) for api in self.made]
+        self.webs = [Server(api.handle, ServerLimits(max_connections_per_address=1000)) for api in self.made]
 
     async def start(self) -> None:
         for number, (member, web) in enumerate(zip(self.members, self.webs, strict=True)):
--- a/tests/following/conftest.py
+++ b/tests/following/conftest.py
@@ -15,7 +15,7 @@
 from ponddoor.raft.member import ClusterMember
 from ponddoor.settings.sexpr import parse
 from ponddoor.settings.site import Address, FollowSide
-from ponddoor.web.server import Bounds, Server
+from ponddoor.web.server import Server, ServerLimits
 from tests.config.test_api import Served, served
 from tests.front.conftest import World, living
 
@@ -78,7 +78,7 @@
         member = ClusterMember(old.identity, old.first, old.addresses, old.folder)
         api = Api(member, self.instances.apis)
         self.instances.members[number], self.instances.made[number] = member, api
-        self.instances.webs[number] = Server(api.handle, Bounds())
+        self.instances.webs[number] = Server(api.handle, ServerLimits())
         await member.start()
         await self.instances.webs[number].start(*self.instances.apis[number])
 
--- a/tests/following/test_front.py
+++ b/tests/following/test_front.py
@@ -21,7 +21,7 @@
 from ponddoor.seats.core import Granted
 from ponddoor.settings.sexpr import SettingsError
 from ponddoor.settings.site import loads
-from ponddoor.web.server import Bounds, Reply, Request, Server
+from ponddoor.web.server import Reply, Request, Server, ServerLimits
 from tests.config.test_api import FIRST, put, served
 from tests.front.conftest import site_text
 from tests.front.test_engine import REQUEST
@@ -160,7 +160,7 @@
         front = deployment.world.fronts[0]
         gold = {"entitlements/gold": "(entitlement gold (limit 9))"}
         await deployment.change({"limits": "(limits (held 77) (drain-time 0s))", **gold})
-        assert front.gate.limits.held == 77 and front.web.bounds.write_time == 5.0
+        assert front.gate.limits.held == 77 and front.web.limits.write_timeout_s == 5.0
         assert front.seating is not None and front.seating.core.limits == {("", "gold"): 9}
         # Limits come from the version, not from the front's own file.
         assert front.reload(tmp_path / "none") is False
@@ -414,7 +414,7 @@
 
     def __init__(self, *lines: bytes, whole: bytes = b"", tag: str = '"v1"') -> None:
         self.lines, self.whole, self.tag, self.requested_paths = lines, whole, tag, list[str]()
-        self.web = Server(self.handle, Bounds())
+        self.web = Server(self.handle, ServerLimits())
 
     async def handle(self, request: Request) -> Reply:
         self.requested_paths.append("/".join(request.path))
--- a/tests/web/test_server.py
+++ b/tests/web/test_server.py
@@ -9,7 +9,7 @@
 
 from ponddoor.web import server as web_server
 from ponddoor.web import timing
-from ponddoor.web.server import Bounds, Reply, Request, Server
+from ponddoor.web.server import Reply, Request, Server, ServerLimits
 from ponddoor.web.timing import within
 
 GET = b"GET /thing HTTP/1.1\r\nHost: here\r\n\r\n"
@@ -20,11 +20,11 @@
     return Reply(200, {"path": request.path})
 
 
-def played(course: Callable[[Server, socket.socket], Awaitable[None]], **bounds: Any) -> None:
+def played(course: Callable[[Server, socket.socket], Awaitable[None]], **limits: Any) -> None:
     """Play something against a server, with one connection to it."""
 
     async def whole() -> None:
-        server = Server(answers, Bounds(**bounds))
+        server = Server(answers, ServerLimits(**limits))
         port = await server.start("127.0.0.1", 0)
         client = socket.create_connection(("127.0.0.1", port))
         client.setblocking(False)
@@ -63,7 +63,7 @@
         client.shutdown(socket.SHUT_WR)
         await within(PATIENCE_S, open_connections(server, 0))
 
-    played(course, body_bytes=500)
+    played(course, max_body_bytes=500)
 
 
 def test_a_client_that_never_closes_does_not_hold_its_connection(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -122,4 +122,4 @@
         monkeypatch.setattr(timing, "within", crossed)
         assert b"200 OK" in await read_until(client, b'"path"')
 
-    played(course, idle_time=0.02)
+    played(course, idle_timeout_s=0.02)
