--- a/ponddoor/config/api.py
+++ b/ponddoor/config/api.py
@@ -41,9 +41,9 @@
 
 async def stop_serving(web: Server, member: ClusterMember) -> None:
     """End a member and its API: every request that has come is answered before its connection closes."""
-    await web.finish(IN_HAND_S)
+    await web.shut_down(IN_HAND_S)
     await member.stop()
-    await web.finish(LAST_ANSWERS_S)
+    await web.shut_down(LAST_ANSWERS_S)
     await web.close()
 
 
--- a/ponddoor/front/process.py
+++ b/ponddoor/front/process.py
@@ -360,7 +360,7 @@
         """Answers the requests that wait, tears down the sessions that play, then closes every socket."""
         self.gate.draining = self.web.closing = True
         self.apply(self.engine.stop)
-        await self.web.finish(FINAL_ANSWERS_TIMEOUT_S)
+        await self.web.shut_down(FINAL_ANSWERS_TIMEOUT_S)
         for task in self._tasks:
             task.cancel()
         await asyncio.sleep(0)
@@ -434,14 +434,14 @@
             "connections_turned_away",
             "Connections over a limit.",
             "",
-            {"": self.web.turned_away},
+            {"": self.web.rejected_connections},
         )
         yield (
             "counter",
             "malformed_requests",
             "Requests that are no HTTP, too large or too slow.",
             "",
-            {"": self.web.malformed},
+            {"": self.web.malformed_requests},
         )
         yield "counter", "words_told", "Words sent to other fronts.", "", {"": self.words.sent}
         yield (
--- a/ponddoor/front/viewers.py
+++ b/ponddoor/front/viewers.py
@@ -216,9 +216,9 @@
             # The time that the seat took counts towards the time that the viewer waits.
             spent_us = round((asyncio.get_running_loop().time() - started_s) * SECOND)
             viewer_request = replace(viewer_request, wait=max(0, viewer_request.wait - spent_us))
-            if request.gone.is_set():
+            if request.disconnected.is_set():
                 self._release_seat(sess)
-                return Reply(499, drop=True)
+                return Reply(499, close_unanswered=True)
         record: SessionRecord | None = None
         refused: list[Answer] = []
         hinting = self.hinting
@@ -245,11 +245,11 @@
             return self._reply("", refused[0])
         final_record: SessionRecord = record
         if final_record.answer is None:
-            request.when_gone = partial(self._stop_waiting, final_record, future)
-            if request.gone.is_set():
+            request.on_disconnect = partial(self._stop_waiting, final_record, future)
+            if request.disconnected.is_set():
                 self._stop_waiting(final_record, future)
-            if (await future).kind == "left" and request.gone.is_set():
-                return Reply(499, drop=True)
+            if (await future).kind == "left" and request.disconnected.is_set():
+                return Reply(499, close_unanswered=True)
         answer = final_record.answer
         assert answer is not None
         if final_record.sess == sess:
--- a/ponddoor/standins/listing.py
+++ b/ponddoor/standins/listing.py
@@ -124,7 +124,7 @@
                 version = int(query.get("version", "0")) if query.get("list") == self.list_id else 0
                 return Reply(200, lines=self.lines(int(query.get("front", "0")), version))
             case _ if self.down:
-                return Reply(503, drop=True)
+                return Reply(503, close_unanswered=True)
             case _:
                 raise HttpError(404, "no-such-resource", "/".join(request.path)[:100])
 
@@ -137,7 +137,7 @@
             self.rec.note("list-fell", times=len(self.capacity.falls))
             self.wake()
         if verdict is Verdict.FALLEN:
-            return Reply(503, drop=True)
+            return Reply(503, close_unanswered=True)
         if verdict is Verdict.TURNED_AWAY:
             return Reply(503, headers=(("Retry-After", str(RETRY_AFTER)),))
         await asyncio.sleep(takes / 1e6)
--- a/ponddoor/standins/media.py
+++ b/ponddoor/standins/media.py
@@ -390,8 +390,8 @@
         if lost and float(self.rng.uniform()) < lost.size and result == "started":
             self.rec.note("answer-lost", sess=got.sess, attempt=got.attempt, server=server, how=lost.how)
             if lost.how != "reset":
-                await request.gone.wait()
-            return Reply(500, drop=True)
+                await request.disconnected.wait()
+            return Reply(500, close_unanswered=True)
         self.rec.note("outcome", sess=got.sess, attempt=got.attempt, server=server, result=result)
         inline = self.site.facts.reporting.value == "inline"
         body = {
@@ -404,7 +404,7 @@
         return Reply({"started": 200, "full": 503, "error": 500, "cancelled": 409}[result], body)
 
     async def gone(self, request: Request, got: Setup) -> None:
-        await request.gone.wait()
+        await request.disconnected.wait()
         self.rec.note("given-up", sess=got.sess, attempt=got.attempt, server=self.entry.server)
         self.cancel((got.sess, got.attempt))
 
@@ -543,4 +543,4 @@
             warm=False,
             kind=self.site.kinds.index(self.entry.kind),
         )
-        self.web.drop_all()
+        self.web.abort_connections()
--- a/ponddoor/web/server.py
+++ b/ponddoor/web/server.py
@@ -1,7 +1,8 @@
 """An HTTP/1.1 server (RFC 9110, RFC 9112) whose every wait, size and count has a bound.
 
-A handler is a coroutine from a Request to a Reply; one that raises HttpError answers with its status. While
-it runs, the connection is watched: when the client goes, `Request.gone` is set and `when_gone` is called."""
+A handler is a coroutine function from a Request to a Reply; an HttpError that it raises becomes the response.
+While it runs, the connection is watched: if the client disconnects, `Request.disconnected` is set and
+`Request.on_disconnect` is called."""
 
 import asyncio
 import contextlib
@@ -57,9 +58,9 @@
     query: dict[str, str]
     headers: dict[str, str]
     body: bytes
-    peer: str
-    gone: asyncio.Event = field(default_factory=asyncio.Event)
-    when_gone: Callable[[], None] | None = None
+    client_address: str
+    disconnected: asyncio.Event = field(default_factory=asyncio.Event)
+    on_disconnect: Callable[[], None] | None = None
 
 
 @dataclass(slots=True)
@@ -70,8 +71,8 @@
     body: object = None
     headers: tuple[tuple[str, str], ...] = ()
     lines: AsyncIterator[bytes] | None = None
-    drop: bool = False  # close the connection without a word (stand-ins that fail on purpose)
-    cut: int = 0  # write so many bytes of the answer, then close (likewise)
+    close_unanswered: bool = False  # close the connection without a word (stand-ins that fail on purpose)
+    truncate_at_bytes: int = 0  # write so many bytes of the answer, then close (likewise)
 
 
 Handler = Callable[[Request], Awaitable[Reply]]
@@ -97,9 +98,9 @@
         self._lingering = 0
         self._by_address: dict[str, int] = {}
         self.closing = False
-        self.answering = 0  # requests that have come whole and are not answered yet
-        self.turned_away = 0
-        self.malformed = 0
+        self.requests_in_progress = 0  # requests that have come whole and are not answered yet
+        self.rejected_connections = 0
+        self.malformed_requests = 0
 
     async def start(self, host: str, port: int) -> int:
         """Listen; returns the port. Raises OSError where the address can't be had."""
@@ -110,7 +111,7 @@
         if self._server is not None:
             self._server.close()
 
-    async def finish(self, seconds: float) -> None:
+    async def shut_down(self, seconds: float) -> None:
         """Answer what has come by now, each answer the last of its connection, and listen no more.
 
         Connections end once they are between two requests with nothing unread; streams of lines, which have
@@ -136,10 +137,10 @@
         """Stop listening and end every connection at once."""
         self.stop_listening()
         while self._connections:
-            self.drop_all()
+            self.abort_connections()
             await asyncio.wait(set(self._connections), timeout=0.2)
 
-    def drop_all(self) -> None:
+    def abort_connections(self) -> None:
         """Cut every connection where it is; go on listening."""
         for task in list(self._connections):
             task.cancel()
@@ -159,7 +160,7 @@
             or held >= self.limits.max_connections_per_address
         ):
             # Guards against connections without end: the newcomer is told so, whoever is here stays served.
-            self.turned_away += 1
+            self.rejected_connections += 1
             with contextlib.suppress(OSError):
                 writer.write(
                     b"HTTP/1.1 503 Service Unavailable\r\nRetry-After: 1\r\nConnection: close\r\n"
@@ -232,30 +233,30 @@
             try:
                 request = await self._request()
             except h11.RemoteProtocolError as problem:
-                self.server.malformed += 1
+                self.server.malformed_requests += 1
                 status = problem.error_status_hint if 400 <= problem.error_status_hint < 500 else 400
                 await self._refuse(HttpError(status, "malformed-request", str(problem)))
                 return True
             except HttpError as problem:
-                self.server.malformed += 1
+                self.server.malformed_requests += 1
                 await self._refuse(problem)
                 return True
             if request is None:
                 return False
-            self.server.answering += 1
+            self.server.requests_in_progress += 1
             try:
                 reply = await self._handled(request)
-                if reply.drop:
+                if reply.close_unanswered:
                     return False
                 await self._write_reply(request, reply)
             finally:
-                self.server.answering -= 1
+                self.server.requests_in_progress -= 1
             if (
                 self.h11.our_state is not h11.DONE
                 or self.h11.their_state is not h11.DONE
                 or self.server.closing
             ):
-                return not reply.cut
+                return not reply.truncate_at_bytes
             self.h11.start_next_cycle()
             self._begun = False
 
@@ -344,9 +345,9 @@
             with contextlib.suppress(OSError):
                 data = await self.reader.read(4096)
             if not data:
-                request.gone.set()
-                if request.when_gone is not None:
-                    request.when_gone()
+                request.disconnected.set()
+                if request.on_disconnect is not None:
+                    request.on_disconnect()
                 return
             ahead += len(data)
             self.h11.receive_data(data)
@@ -381,8 +382,8 @@
         except ValueError:
             reason = ""
         head = h11.Response(status_code=reply.status, headers=headers, reason=reason)
-        if reply.cut:
-            self.writer.write(((self.h11.send(head) or b"") + text)[: reply.cut])
+        if reply.truncate_at_bytes:
+            self.writer.write(((self.h11.send(head) or b"") + text)[: reply.truncate_at_bytes])
             return
         data = self.h11.send(head) or b""
         if reply.lines is not None:
--- a/tests/front/test_world.py
+++ b/tests/front/test_world.py
@@ -195,7 +195,7 @@
         await world.ask()
         media = next(media for media in world.media if media.streams)
         old_notes = media.notes[0]
-        media.web.drop_all()
+        media.web.abort_connections()
         await world.until(lambda: media.notes.get(0, old_notes) is not old_notes, 4)
         await world.until(lambda: world.fronts[0].servers.links[media.entry.server].up, 4)
         assert world.fronts[0].engine.sessions_held == 1 and len(media.streams) == 1
@@ -310,7 +310,7 @@
     async def live(world: World) -> None:
         assert (await world.ask()).status == 201
         world.listing.down = True
-        world.listing.web.drop_all()
+        world.listing.web.abort_connections()
         await world.until(lambda: not world.fronts[0].listing.reachable, 4)
         assert (await world.ask()).status == 201  # with the last known list
         world.listing.down = False
--- a/tests/web/test_server.py
+++ b/tests/web/test_server.py
@@ -85,7 +85,7 @@
         loop.call_later(0.05, client.send, GET[20:])
 
         async def end() -> None:
-            await server.finish(PATIENCE_S)
+            await server.shut_down(PATIENCE_S)
             await server.close()
 
         ending = asyncio.create_task(end())
@@ -98,7 +98,7 @@
 def test_an_idle_connection_ends_at_the_end_without_waiting_for_its_client() -> None:
     async def course(server: Server, client: socket.socket) -> None:
         await within(PATIENCE_S, open_connections(server, 1))
-        await within(PATIENCE_S, server.finish(100.0))
+        await within(PATIENCE_S, server.shut_down(100.0))
         assert await within(PATIENCE_S, asyncio.get_running_loop().sock_recv(client, 100)) == b""
 
     played(course)
