--- a/ponddoor/front/hinting.py
+++ b/ponddoor/front/hinting.py
@@ -11,7 +11,7 @@
 from ponddoor.hints.intake import KB_PER_KBIT, Intake
 from ponddoor.interface.events import Means, ServerHint
 from ponddoor.settings.site import Site
-from ponddoor.web.server import HttpError, Request, decoded
+from ponddoor.web.server import HttpError, Request, decode_json_body
 
 MILLISECOND = 1000  # in microseconds
 
@@ -50,7 +50,7 @@
             reports, read = cmcd.read_reports(request.body)
             self.intake.lost(read.lost)
         elif media_type in ("", "application/json"):
-            body = decoded(request.body, dict[str, Any]) if request.body else None
+            body = decode_json_body(request.body, dict[str, Any]) if request.body else None
             reports = [self._read(request, body).values]
         else:
             raise HttpError(
--- a/ponddoor/front/viewers.py
+++ b/ponddoor/front/viewers.py
@@ -19,7 +19,7 @@
 from ponddoor.hints import cmsd
 from ponddoor.seats.core import Granted, Key, Refused
 from ponddoor.seats.tokens import Token, TokenError, opened
-from ponddoor.web.server import HttpError, Reply, Request, decoded
+from ponddoor.web.server import HttpError, Reply, Request, decode_json_body
 from ponddoor.web.timing import within
 
 SECOND = 1_000_000  # in microseconds
@@ -95,11 +95,11 @@
             case "POST", ("sessions", sess, "hints"):
                 return self._take_hints(self._find_session(sess), request)
             case "POST", ("seats", "renew"):
-                return await self._renew(decoded(request.body, SeatAsk))
+                return await self._renew(decode_json_body(request.body, SeatAsk))
             case "POST", ("seats", "return"):
-                return self._return_seat(decoded(request.body, SeatAsk))
+                return self._return_seat(decode_json_body(request.body, SeatAsk))
             case "POST", ("seats", "look"):
-                return self._token_status(decoded(request.body, SeatAsk))
+                return self._token_status(decode_json_body(request.body, SeatAsk))
             case "GET", ("seats",):
                 return Reply(200, {"seats": self._seating().entitlement_rows()})
             case _, ("sessions",) | ("sessions", _) | ("sessions", _, "events" | "hints"):
@@ -187,7 +187,7 @@
 
     async def _request_session(self, request: Request) -> Reply:
         started_s = asyncio.get_running_loop().time()
-        body = decoded(request.body, SessionAsk)
+        body = decode_json_body(request.body, SessionAsk)
         key, terms = request.headers.get("idempotency-key"), self.terms
         viewer_request = self._to_viewer_request(body, key)
         if key is not None and not 1 <= len(key) <= 200:
--- a/ponddoor/load/relay.py
+++ b/ponddoor/load/relay.py
@@ -9,7 +9,7 @@
 from ponddoor.front.servers import SetupAnswer
 from ponddoor.front.viewers import SessionAsk
 from ponddoor.web.client import BrokenError, LateError, NotSentError, Pool
-from ponddoor.web.server import HttpError, Reply, Request, decoded
+from ponddoor.web.server import HttpError, Reply, Request, decode_json_body
 
 
 class Relay:
@@ -22,7 +22,7 @@
     async def handle(self, request: Request) -> Reply:
         match request.method, request.path:
             case "POST", ("sessions",):
-                return await self.ask(decoded(request.body, SessionAsk))
+                return await self.ask(decode_json_body(request.body, SessionAsk))
             case "DELETE", ("sessions", sess):
                 pool = self.where.pop(sess, None)
                 if pool is None:
--- a/ponddoor/rehearse/hollow_process.py
+++ b/ponddoor/rehearse/hollow_process.py
@@ -28,7 +28,7 @@
 from ponddoor.settings.site import Site
 from ponddoor.standins.media import Fault
 from ponddoor.web.client import BrokenError, LateError, NotSentError, Pool
-from ponddoor.web.server import HttpError, Reply, Request, Server, ServerLimits, decoded
+from ponddoor.web.server import HttpError, Reply, Request, Server, ServerLimits, decode_json_body
 
 LATE = 80_000  # us, about what a front waits for another's answer
 MOST_CHANGES = 500_000  # of who stands how, that are kept to be told
@@ -239,7 +239,7 @@
             case "GET", ("ready",):
                 return Reply(200, {"listed": len(self.roster.entries), "lives": self._lives()})
             case "POST", ("order",):
-                await self.order(decoded(request.body, Order))
+                await self.order(decode_json_body(request.body, Order))
                 return Reply(204)
             case _:
                 raise HttpError(404, "no-such-resource", "GET /told and /ready, POST /order")
--- a/ponddoor/standins/listing.py
+++ b/ponddoor/standins/listing.py
@@ -15,7 +15,7 @@
 from ponddoor.front.roster import Entry, ListMessage
 from ponddoor.settings.site import Site
 from ponddoor.standins.capacity import Capacity, Verdict
-from ponddoor.web.server import HttpError, Reply, Request, Server, ServerLimits, decoded
+from ponddoor.web.server import HttpError, Reply, Request, Server, ServerLimits, decode_json_body
 from ponddoor.web.timing import within
 
 HISTORY = 1000
@@ -114,7 +114,7 @@
     async def handle(self, request: Request) -> Reply:
         match request.method, request.path:
             case "POST", ("register",):
-                return Reply(200, {"others": self.registered(decoded(request.body, Beat))})
+                return Reply(200, {"others": self.registered(decode_json_body(request.body, Beat))})
             case "GET", ("servers",) if not self.down:
                 return Reply(200, self.whole())
             case "GET", ("watch",):
@@ -189,7 +189,7 @@
                 continue
 
     async def handle_control(self, request: Request) -> Reply:
-        self.order(decoded(request.body, Order))
+        self.order(decode_json_body(request.body, Order))
         return Reply(204)
 
     def order(self, order: Order) -> None:
--- a/ponddoor/standins/media.py
+++ b/ponddoor/standins/media.py
@@ -20,7 +20,7 @@
 from ponddoor.hints import cmcd, cmsd
 from ponddoor.settings.site import Site
 from ponddoor.web.client import BrokenError, LateError, NotSentError, Pool
-from ponddoor.web.server import HttpError, Reply, Request, Server, ServerLimits, decoded
+from ponddoor.web.server import HttpError, Reply, Request, Server, ServerLimits, decode_json_body
 from ponddoor.web.timing import within
 
 TICK = 0.1
@@ -261,7 +261,7 @@
                 self.cancel((sess, int(attempt)))
                 return Reply(204)
             case "PUT", ("setups", sess, attempt, "rung"):
-                rung = decoded(request.body, Rung).rung
+                rung = decode_json_body(request.body, Rung).rung
                 self.rec.note("rung", sess=sess, attempt=int(attempt), rung=rung, server=self.entry.server)
                 await self.awake.wait()
                 stream = self.streams.get((sess, int(attempt)))
@@ -353,7 +353,7 @@
         self.delayed.add(handle)
 
     async def setup(self, request: Request) -> Reply:
-        got = decoded(request.body, Setup)
+        got = decode_json_body(request.body, Setup)
         key, server = (got.sess, got.attempt), self.entry.server
         self.rec.note(
             "setup",
@@ -509,7 +509,7 @@
     async def handle_control(self, request: Request) -> Reply:
         if request.method == "GET":
             return Reply(200, {"streams": [list(key) for key in self.streams], "asked": self.asked()})
-        self.fault(decoded(request.body, Fault))
+        self.fault(decode_json_body(request.body, Fault))
         return Reply(204)
 
     def fault(self, fault: Fault) -> None:
--- a/ponddoor/web/server.py
+++ b/ponddoor/web/server.py
@@ -19,7 +19,7 @@
 from ponddoor.web.unread import has_unread
 
 _READ = 65_536
-T = TypeVar("T")
+BodyT = TypeVar("BodyT")
 _NO_ROOM = b'{"error":"too-many-connections","detail":"no room for this connection"}'
 
 
@@ -430,9 +430,9 @@
     return await anext(lines, None)
 
 
-def decoded(body: bytes, kind: type[T]) -> T:
+def decode_json_body(body: bytes, body_type: type[BodyT]) -> BodyT:
     """A JSON body as a msgspec struct. Raises HttpError 400 that names the field."""
     try:
-        return msgspec.json.decode(body, type=kind)
+        return msgspec.json.decode(body, type=body_type)
     except msgspec.MsgspecError as problem:
         raise HttpError(400, "malformed-body", str(problem)) from None
