--- a/ponddoor/config/commands.py
+++ b/ponddoor/config/commands.py
@@ -30,7 +30,7 @@
 from ponddoor.settings.sexpr import Atom, Listing, Place, Problem, SettingsError, read
 from ponddoor.store.files import DiskError, LockedError
 from ponddoor.store.journal import DamagedError
-from ponddoor.web.client import Answer, BrokenError, LateError, NotSentError, Pool
+from ponddoor.web.client import BrokenError, LateError, NotSentError, Pool, Response
 from ponddoor.web.server import Server, ServerLimits
 
 TRIES = 20
@@ -47,7 +47,7 @@
     def __init__(self, addresses: list[tuple[str, int]]) -> None:
         self.addresses = addresses
 
-    async def call(self, method: str, path: str, body: object = None, **headers: str) -> Answer:
+    async def call(self, method: str, path: str, body: object = None, **headers: str) -> Response:
         """The final answer. Raises click.ClickException where none comes."""
         named = {name.replace("_", "-"): value for name, value in headers.items()}
         if method != "GET":
@@ -92,7 +92,7 @@
     return Client([place.api for place in held.members.values()])
 
 
-def _run(work: Coroutine[Any, Any, Answer]) -> Any:
+def _run(work: Coroutine[Any, Any, Response]) -> Any:
     """The body of an answer; a problem goes to standard error, exit 1, or 2 where the input can't be used."""
     answer = asyncio.run(work)
     if answer.status < 300:
@@ -162,7 +162,7 @@
         click.echo(f"{site}: {problem}", err=True)
         sys.exit(2)
 
-    async def work() -> Answer:
+    async def work() -> Response:
         there: dict[str, int] = {}
         after: Any = ""
         while after is not None:
@@ -182,7 +182,7 @@
     _changed(_run(work()), dry_run)
 
 
-def _changed(answer: Answer, dry: bool) -> None:
+def _changed(answer: Response, dry: bool) -> None:
     got: Any = answer.json()
     if got["why"] == "changes-nothing":
         click.echo(f"nothing to change, version {got['version']}")
@@ -251,7 +251,7 @@
             turn += 1
             pool = Pool(host, port, 2, 1.0)
             try:
-                async for line in pool.lines(f"/config/watch?after={seen}", 10.0):
+                async for line in pool.stream_lines(f"/config/watch?after={seen}", 10.0):
                     got = msgspec.json.decode(line, type=dict[str, Any])
                     if got.get("version", 0) > seen:
                         seen, shown_ = got["version"], shown_ + 1
@@ -281,7 +281,11 @@
 
     async def ask(number: int) -> list[Told] | str:
         """All pages of one instance, or why it can't be asked."""
-        pool, pages, after = Pool(*held.members[number].api, 1, 1.0, most_body=4_000_000), list[Told](), -1
+        pool, pages, after = (
+            Pool(*held.members[number].api, 1, 1.0, max_body_bytes=4_000_000),
+            list[Told](),
+            -1,
+        )
         try:
             while True:
                 query = f"?after={after}&limit=1000" if after >= 0 else "?limit=1000"
--- a/ponddoor/front/following.py
+++ b/ponddoor/front/following.py
@@ -38,7 +38,7 @@
     NotSentError,
     OversizeError,
     Pool,
-    TurnedAwayError,
+    UnexpectedStatusError,
 )
 
 REPORT_TIMEOUT_S = 2.0
@@ -212,11 +212,11 @@
         path = f"/config/watch?after={after}&front={self.follower.me}"
         try:
             # The core detects silence by its own timer; this time-out only covers the loss of that timer
-            async for line in pool.lines(path, 2 * self.follower.silence / SECOND, MAX_LINE_BYTES):
+            async for line in pool.stream_lines(path, 2 * self.follower.silence / SECOND, MAX_LINE_BYTES):
                 receive = partial(self._if_current, connection, self._receive_line, instance, line)
                 await self._calls.put((receive, len(line) > LONG_LINE_BYTES))
             outcome = partial(self._if_current, connection, self._connection_lost, instance, Loss.BROKEN, 0)
-        except TurnedAwayError as problem:
+        except UnexpectedStatusError as problem:
             if problem.status == 410:
                 newest = _number(problem.headers.get("etag", ""))
                 outcome = partial(self._if_current, connection, self._history_unavailable, instance, newest)
@@ -227,7 +227,7 @@
                     self._connection_lost,
                     instance,
                     Loss.TURNED_AWAY,
-                    int(problem.stay_away * SECOND),
+                    int(problem.retry_after_s * SECOND),
                 )
         except (NotSentError, BrokenError, LateError) as problem:
             outcome = partial(
@@ -239,11 +239,11 @@
 
     async def _fetch(self, connection: int, instance: int) -> None:
         host, port = self.instances[instance]
-        pool = Pool(host, port, 1, CONNECT_TIMEOUT_US / SECOND, most_body=MAX_FULL_STATE_BYTES)
+        pool = Pool(host, port, 1, CONNECT_TIMEOUT_US / SECOND, max_body_bytes=MAX_FULL_STATE_BYTES)
         try:
             answer = await pool.request("GET", "/config/file", timeout=self.follower.silence / SECOND)
             if answer.status != 200:
-                raise TurnedAwayError(answer.status, 0.0, answer.headers)
+                raise UnexpectedStatusError(answer.status, 0.0, answer.headers)
             number, text = _number(answer.headers.get("etag", "")), answer.body.decode()
             if number < 0:
                 raise BrokenError("answer of GET /config/file has no version in its ETag")
@@ -295,12 +295,12 @@
     def _loss_of(self, problem: Exception) -> Loss:
         match problem:
             case NotSentError():
-                return Loss.REFUSED if problem.refused else Loss.LATE
+                return Loss.REFUSED if problem.connection_refused else Loss.LATE
             case LateError():
                 return Loss.SILENT
             case OversizeError():
                 self._count("oversize")
-            case TurnedAwayError():
+            case UnexpectedStatusError():
                 return Loss.TURNED_AWAY
         return Loss.BROKEN
 
--- a/ponddoor/front/listing.py
+++ b/ponddoor/front/listing.py
@@ -17,7 +17,7 @@
 from ponddoor.front.words import wall_clock_us
 from ponddoor.interface import events as ev
 from ponddoor.settings.site import Site
-from ponddoor.web.client import BrokenError, LateError, NotSentError, Pool, TurnedAwayError
+from ponddoor.web.client import BrokenError, LateError, NotSentError, Pool, UnexpectedStatusError
 
 CONNECT_TIMEOUT_S = 1.0  # for all addresses together
 log = structlog.get_logger("list")
@@ -78,7 +78,7 @@
         """A pool for the current address. A failure moves on to the next, as one may be slow or half dead."""
         addresses = (self.site.listing.address, *self.site.listing.others)
         host, port = addresses[(self.me + self._address_index) % len(addresses)]
-        return Pool(host, port, 4, CONNECT_TIMEOUT_S / len(addresses), 5.0, most_body=50_000_000)
+        return Pool(host, port, 4, CONNECT_TIMEOUT_S / len(addresses), 5.0, max_body_bytes=50_000_000)
 
     async def _watch(self) -> None:
         """Follow the list: with reconnects if the site has it pushed, else once (the decisions ask again)."""
@@ -109,7 +109,7 @@
         pool, silence_us = self._pool(), self.site.listing.silence
         path = f"/watch?front={self.me}&list={self.roster.list_id}&version={self.roster.version}"
         try:
-            async for line in pool.lines(path, silence_us / SECOND, 50_000_000):
+            async for line in pool.stream_lines(path, silence_us / SECOND, 50_000_000):
                 message = decode(line)
                 if not self.reachable:
                     self.reachable = True
@@ -120,12 +120,12 @@
             log.info("list-gap", why=str(error))
             self.roster.list_id, self.roster.version = "", 0
             return Loss.BROKEN, 0, 0, str(error)
-        except TurnedAwayError as error:
-            return Loss.TURNED_AWAY, 0, int(error.stay_away * SECOND), str(error)
+        except UnexpectedStatusError as error:
+            return Loss.TURNED_AWAY, 0, int(error.retry_after_s * SECOND), str(error)
         except LateError as error:
             return Loss.SILENT, silence_us, 0, str(error)
         except NotSentError as error:
-            return Loss.REFUSED if error.refused else Loss.LATE, 0, 0, str(error)
+            return Loss.REFUSED if error.connection_refused else Loss.LATE, 0, 0, str(error)
         except (BrokenError, msgspec.MsgspecError) as error:
             return Loss.BROKEN, 0, 0, str(error)
         finally:
--- a/ponddoor/front/servers.py
+++ b/ponddoor/front/servers.py
@@ -258,7 +258,7 @@
         while True:
             reason = "closed"
             try:
-                async for line in link.pool.lines(path, silence_s):
+                async for line in link.pool.stream_lines(path, silence_s):
                     note = msgspec.json.decode(line, type=NoteLine)
                     if note.note == "hello":
                         if not link.up or process_started_us != note.started_us:
--- a/ponddoor/rehearse/hollow_process.py
+++ b/ponddoor/rehearse/hollow_process.py
@@ -164,10 +164,10 @@
         host, port = self.site.listing.address
         silence = self.site.listing.silence / SECOND
         while True:
-            pool = Pool(host, port, 2, 1.0, 5.0, most_body=50_000_000)
+            pool = Pool(host, port, 2, 1.0, 5.0, max_body_bytes=50_000_000)
             path = f"/watch?front={self.mine[0]}&list={self.roster.list_id}&version={self.roster.version}"
             try:
-                async for line in pool.lines(path, silence, 50_000_000):
+                async for line in pool.stream_lines(path, silence, 50_000_000):
                     self._take(line)
             except GapError:
                 self.roster.list_id, self.roster.version = "", 0
--- a/ponddoor/rehearse/hollow_run.py
+++ b/ponddoor/rehearse/hollow_run.py
@@ -268,7 +268,7 @@
         return seen
 
     async def _told(self, one: _Process) -> dict[str, Any]:
-        pool = Pool("127.0.0.1", one.control, 1, 2.0, most_body=200_000_000)
+        pool = Pool("127.0.0.1", one.control, 1, 2.0, max_body_bytes=200_000_000)
         try:
             answer = await pool.request("GET", "/told", timeout=30.0)
             told: dict[str, Any] = msgspec.json.decode(answer.body)
--- a/ponddoor/rehearse/instances.py
+++ b/ponddoor/rehearse/instances.py
@@ -267,7 +267,7 @@
         while True:
             pool = Pool(*one.api, 2, 1.0)
             with contextlib.suppress(NotSentError, BrokenError, LateError, msgspec.MsgspecError):
-                async for line in pool.lines(f"/config/watch?after={self._seen}", 3.0):
+                async for line in pool.stream_lines(f"/config/watch?after={self._seen}", 3.0):
                     told = msgspec.json.decode(line, type=dict[str, Any])
                     version = int(told.get("version", 0))
                     if version > self._seen:
--- a/ponddoor/standins/players.py
+++ b/ponddoor/standins/players.py
@@ -176,7 +176,7 @@
             sess=sess,
             limit=limit,
             why=str(got.get("error", "")),
-            unasked=pool.unasked,
+            unasked=pool.unsolicited_responses,
         )
         if state != "playing":
             return state, float(got.get("come_back_ms", 0.0)) / 1000
@@ -231,7 +231,7 @@
                     reported = now
                     with contextlib.suppress(NotSentError, BrokenError, LateError):
                         path = f"/sessions/{seen.sess}/hints"
-                        await front.request("POST", path, seen.report(), 1.0, kind=cmcd.REPORTS)
+                        await front.request("POST", path, seen.report(), 1.0, content_type=cmcd.REPORTS)
                 chosen = seen.choose(self.in_force.get(seen.sess, rung))
                 path, headers = f"/segment/{seen.sess}?rung={chosen}", seen.headers() if hints else ()
                 begun = time.monotonic()
@@ -296,7 +296,7 @@
         host, _, port = server.rpartition(":")
         pool = Pool(host, int(port or 0), 2, 1.0)
         rung, share, at, short_since = -1, 1.0, time.monotonic(), 0.0
-        stream = pool.lines(f"/play/{sess}", SILENCE)
+        stream = pool.stream_lines(f"/play/{sess}", SILENCE)
 
         def earn() -> None:
             nonlocal at
--- a/ponddoor/web/client.py
+++ b/ponddoor/web/client.py
@@ -12,28 +12,28 @@
 from ponddoor.web.unread import has_unread
 
 _READ = 65_536
-MOST_AWAY = 60.0  # s: a longer Retry-After is not heeded whole
+MAX_RETRY_AFTER_S = 60.0  # s: a longer Retry-After is not heeded whole
 
 
 class NotSentError(Exception):
     """Nothing was sent: no connection could be had. `why` says whether the pool or the network refused."""
 
-    def __init__(self, why: str, pool_full: bool = False, refused: bool = False) -> None:
+    def __init__(self, why: str, pool_full: bool = False, connection_refused: bool = False) -> None:
         super().__init__(why)
-        self.pool_full, self.refused = pool_full, refused
+        self.pool_full, self.connection_refused = pool_full, connection_refused
 
 
 class BrokenError(Exception):
     """The connection was lost, or what came back is no HTTP, after the request may have been read."""
 
 
-class TurnedAwayError(BrokenError):
+class UnexpectedStatusError(BrokenError):
     """An answer that is no stream: its status and headers, and the seconds that its Retry-After asks to stay
     away."""
 
-    def __init__(self, status: int, stay_away: float, headers: dict[str, str] | None = None) -> None:
+    def __init__(self, status: int, retry_after_s: float, headers: dict[str, str] | None = None) -> None:
         super().__init__(f"status {status}")
-        self.status, self.stay_away, self.headers = status, stay_away, headers or {}
+        self.status, self.retry_after_s, self.headers = status, retry_after_s, headers or {}
 
 
 class OversizeError(BrokenError):
@@ -45,7 +45,7 @@
 
 
 @dataclass(slots=True)
-class Answer:
+class Response:
     """A whole answer."""
 
     status: int
@@ -82,11 +82,11 @@
         host: str,
         body: bytes,
         headers: tuple[tuple[str, str], ...],
-        kind: str = "application/json",
+        content_type: str = "application/json",
     ) -> None:
         fields = [("Host", host), *headers]
         if body:
-            fields += [("Content-Type", kind), ("Content-Length", str(len(body)))]
+            fields += [("Content-Type", content_type), ("Content-Length", str(len(body)))]
         data = self.http.send(h11.Request(method=method, target=path, headers=fields)) or b""
         if body:
             data += self.http.send(h11.Data(data=body)) or b""
@@ -119,17 +119,17 @@
 
     host: str
     port: int
-    most: int = 64
-    connect_time: float = 0.25
-    idle_time: float = 30.0
-    most_body: int = 1_000_000
-    unasked: int = 0  # answers that nobody had asked for
+    max_connections: int = 64
+    connect_timeout_s: float = 0.25
+    idle_timeout_s: float = 30.0
+    max_body_bytes: int = 1_000_000
+    unsolicited_responses: int = 0  # answers that nobody had asked for
     _idle: deque[_Wire] = field(default_factory=deque)
     _out: set[_Wire] = field(default_factory=set)
     _opening: int = 0
 
     @property
-    def open(self) -> int:
+    def open_connections(self) -> int:
         return len(self._idle) + len(self._out) + self._opening
 
     def close_idle(self) -> None:
@@ -149,9 +149,9 @@
         body: object = None,
         timeout: float = 5.0,
         headers: tuple[tuple[str, str], ...] = (),
-        kind: str = "application/json",
-    ) -> Answer:
-        """One exchange; a body of bytes goes as it is, of media type `kind`, any other as JSON.
+        content_type: str = "application/json",
+    ) -> Response:
+        """One exchange; a body of bytes goes as it is, of media type `content_type`, any other as JSON.
 
         Raises NotSentError, BrokenError or LateError; a late one's connection is closed."""
         try:
@@ -159,7 +159,7 @@
                 wire = await self._take()
                 done = False
                 try:
-                    answer = await self._exchange(wire, method, path, body, headers, kind)
+                    answer = await self._exchange(wire, method, path, body, headers, content_type)
                     done = wire.http.our_state is h11.DONE and wire.http.their_state is h11.DONE
                     return answer
                 except (OSError, h11.RemoteProtocolError) as problem:
@@ -176,36 +176,36 @@
         path: str,
         body: object,
         headers: tuple[tuple[str, str], ...],
-        kind: str,
-    ) -> Answer:
+        content_type: str,
+    ) -> Response:
         data = b"" if body is None else body if isinstance(body, bytes) else msgspec.json.encode(body)
-        await wire.send(method, path, f"{self.host}:{self.port}", data, headers, kind)
+        await wire.send(method, path, f"{self.host}:{self.port}", data, headers, content_type)
         head, text = await wire.head(), bytearray()
         while not isinstance(event := await wire.event(), h11.EndOfMessage):
             if not isinstance(event, h11.Data):
                 raise BrokenError("closed in the middle of an answer")
             text += event.data
-            if len(text) > self.most_body:
-                raise OversizeError(f"an answer of more than {self.most_body} bytes")
-        return Answer(head.status_code, _headers(head), bytes(text))
+            if len(text) > self.max_body_bytes:
+                raise OversizeError(f"an answer of more than {self.max_body_bytes} bytes")
+        return Response(head.status_code, _headers(head), bytes(text))
 
-    async def lines(
-        self, path: str, silence: float, most_line: int = 1_000_000
+    async def stream_lines(
+        self, path: str, silence_timeout_s: float, max_line_bytes: int = 1_000_000
     ) -> AsyncGenerator[bytes, None]:
         """The lines of an endless answer, on a connection of its own. Ends only by raising: NotSentError,
-        BrokenError, or LateError after `silence` seconds without a whole line."""
+        BrokenError, or LateError after `silence_timeout_s` seconds without a whole line."""
         wire = await self._open()
         try:
-            async with asyncio.timeout(silence):
+            async with asyncio.timeout(silence_timeout_s):
                 await wire.send("GET", path, f"{self.host}:{self.port}", b"", ())
                 head = await wire.head()
             if head.status_code != 200:
                 headers = _headers(head)
                 told = headers.get("retry-after", "")
-                away = min(int(told), MOST_AWAY) if told.isdigit() else 0.0
-                raise TurnedAwayError(head.status_code, away, headers)
+                away = min(int(told), MAX_RETRY_AFTER_S) if told.isdigit() else 0.0
+                raise UnexpectedStatusError(head.status_code, away, headers)
             text, loop = b"", asyncio.get_running_loop()
-            due = loop.time() + silence
+            due = loop.time() + silence_timeout_s
             while True:
                 async with asyncio.timeout_at(due):
                     event = await wire.event()
@@ -213,14 +213,14 @@
                     raise BrokenError("the stream ended")
                 text += bytes(event.data)
                 *whole, text = text.split(b"\n")
-                if len(text) > most_line:
-                    raise OversizeError(f"a line of more than {most_line} bytes")
+                if len(text) > max_line_bytes:
+                    raise OversizeError(f"a line of more than {max_line_bytes} bytes")
                 for line in whole:
                     yield line
                 if whole:  # who stopped in a line, or drips, says nothing
-                    due = loop.time() + silence
+                    due = loop.time() + silence_timeout_s
         except TimeoutError:
-            raise LateError(f"silent for {silence:g} s") from None
+            raise LateError(f"silent for {silence_timeout_s:g} s") from None
         except (OSError, h11.RemoteProtocolError) as problem:
             raise BrokenError(str(problem) or type(problem).__name__) from None
         finally:
@@ -231,23 +231,27 @@
         now = asyncio.get_running_loop().time()
         while self._idle:
             wire = self._idle.pop()
-            if not wire.dead and now - wire.since < self.idle_time:
+            if not wire.dead and now - wire.since < self.idle_timeout_s:
                 self._out.add(wire)
                 return wire
             wire.close()
         return await self._open()
 
     async def _open(self) -> _Wire:
-        if self.open >= self.most:
-            raise NotSentError(f"{self.most} connections to {self.host}:{self.port} are open", pool_full=True)
+        if self.open_connections >= self.max_connections:
+            raise NotSentError(
+                f"{self.max_connections} connections to {self.host}:{self.port} are open", pool_full=True
+            )
         self._opening += 1
         try:
-            async with asyncio.timeout(self.connect_time):
+            async with asyncio.timeout(self.connect_timeout_s):
                 reader, writer = await asyncio.open_connection(self.host, self.port)
         except TimeoutError:
-            raise NotSentError(f"no connection in {self.connect_time:g} s") from None
+            raise NotSentError(f"no connection in {self.connect_timeout_s:g} s") from None
         except OSError as problem:
-            raise NotSentError(str(problem), refused=isinstance(problem, ConnectionRefusedError)) from None
+            raise NotSentError(
+                str(problem), connection_refused=isinstance(problem, ConnectionRefusedError)
+            ) from None
         finally:
             self._opening -= 1
         wire = _Wire(reader, writer, h11.Connection(h11.CLIENT))
@@ -258,7 +262,7 @@
         self._out.discard(wire)
         if done and wire.http.trailing_data[0]:
             # Guards against a far end that answers twice: the second answer would pass for the next one's.
-            self.unasked += 1
+            self.unsolicited_responses += 1
             done = False
         if done and not wire.dead:
             wire.http.start_next_cycle()
--- a/tests/config/test_api.py
+++ b/tests/config/test_api.py
@@ -18,7 +18,7 @@
 from ponddoor.raft.wire import Identity
 from ponddoor.rehearse.run import free_ports
 from ponddoor.settings.sexpr import parse
-from ponddoor.web.client import Answer, Pool
+from ponddoor.web.client import Pool, Response
 from ponddoor.web.server import Server, ServerLimits
 from ponddoor.web.timing import within
 from tests.config.test_machine import FILM, TEXT
@@ -54,7 +54,7 @@
 
     async def call(
         self, method: str, path: str, body: Any = None, to: int | None = None, **headers: str
-    ) -> Answer:
+    ) -> Response:
         number = self.leader() if to is None else to
         pool = Pool(*self.apis[number], 2, 1.0)
         named = tuple((name.replace("_", "-"), value) for name, value in headers.items())
@@ -225,7 +225,7 @@
             pool = Pool(*world.apis[0], 2, 1.0)
 
             async def watch() -> None:
-                async for line in pool.lines("/config/watch?after=0", 5.0):
+                async for line in pool.stream_lines("/config/watch?after=0", 5.0):
                     got = msgspec.json.decode(line, type=dict[str, Any])
                     if "version" in got:
                         seen.append(got["version"])
--- a/tests/following/test_rollout.py
+++ b/tests/following/test_rollout.py
@@ -169,7 +169,7 @@
             for front in (0, 2, 5):
                 await world.call("POST", "/config/fronts", make_report(front))
             pool = Pool(*world.apis[0], 4, 1.0)
-            watching = pool.lines("/config/watch?after=1&front=3", 5.0)
+            watching = pool.stream_lines("/config/watch?after=1&front=3", 5.0)
             assert msgspec.json.decode(await anext(watching)) == {"beat": 1, "apart": False}
             rows: list[Any] = []
             after: Any = ""
@@ -191,7 +191,7 @@
 async def watch_lines(world: Served, path: str, count: int) -> list[dict[str, Any]]:
     """Reads the first `count` lines of a watch."""
     pool, received = Pool(*world.apis[0], 2, 1.0), list[dict[str, Any]]()
-    async for line in pool.lines(path, 5.0):
+    async for line in pool.stream_lines(path, 5.0):
         received.append(msgspec.json.decode(line, type=dict[str, Any]))
         if len(received) == count:
             break
@@ -225,14 +225,14 @@
         async with served(tmp_path) as world:
             api, pool = world.made[0], Pool(*world.apis[0], 9, 1.0)
             api.most_watchers = 2
-            first = pool.lines("/config/watch?front=1", 5.0)
+            first = pool.stream_lines("/config/watch?front=1", 5.0)
             await anext(first)
-            second = pool.lines("/config/watch?front=1", 5.0)
+            second = pool.stream_lines("/config/watch?front=1", 5.0)
             await anext(second)
             assert len(api.watchers) == 1 and api._named[1] in api.watchers
             with pytest.raises(Exception, match="the stream ended"):
                 await anext(first)
-            third = pool.lines("/config/watch?front=2", 5.0)
+            third = pool.stream_lines("/config/watch?front=2", 5.0)
             await anext(third)
             assert (await world.call("GET", "/config/watch")).status == 503
             assert (await world.call("GET", "/config/watch?front=x")).status == 422
@@ -253,7 +253,7 @@
                 sets = {"limits": f"(limits (drain-time {number}s))"}
                 ahead.apply(number, packed(Change("a", "b", 1, sets)))
             pool = Pool(*world.apis[0], 2, 1.0)
-            watching = pool.lines("/config/watch?after=1", 5.0)
+            watching = pool.stream_lines("/config/watch?after=1", 5.0)
             await anext(watching)
             member.machine.restore(ahead.state())
             member.restored()
--- a/tests/front/conftest.py
+++ b/tests/front/conftest.py
@@ -22,7 +22,7 @@
 from ponddoor.settings.site import Site, loads
 from ponddoor.standins.listing import ServerList
 from ponddoor.standins.media import MediaServer
-from ponddoor.web.client import Answer, BrokenError, LateError, NotSentError, Pool
+from ponddoor.web.client import BrokenError, LateError, NotSentError, Pool, Response
 
 SITE = """
 (site small
@@ -248,7 +248,7 @@
             while not done():
                 await asyncio.sleep(0.005)
 
-    async def ask(self, me: int = 0, key: str | None = None, timeout: float = 5.0, **body: Any) -> Answer:
+    async def ask(self, me: int = 0, key: str | None = None, timeout: float = 5.0, **body: Any) -> Response:
         """Sends one viewer's request and records it as a player does."""
         name = f"v{next(self.names)}"
         wait = self.site.facts.groups[0].setup_timeout
@@ -276,7 +276,7 @@
         )
         return answer
 
-    async def call(self, method: str, path: str, me: int = 0, body: Any = None) -> Answer:
+    async def call(self, method: str, path: str, me: int = 0, body: Any = None) -> Response:
         pool = Pool("127.0.0.1", self.front_ports[me], 10, 1.0)
         try:
             return await pool.request(method, path, body)
--- a/tests/front/test_hinting.py
+++ b/tests/front/test_hinting.py
@@ -6,7 +6,7 @@
 
 from ponddoor.hints import cmcd, cmsd
 from ponddoor.standins.media import Fault
-from ponddoor.web.client import Answer, Pool
+from ponddoor.web.client import Pool, Response
 
 from .conftest import World
 
@@ -15,7 +15,7 @@
 
 async def ask(
     world: World, path: str = "/sessions", headers: dict[str, str] | None = None, **body: Any
-) -> Answer:
+) -> Response:
     port = world.fronts[0].port
     pool = Pool("127.0.0.1", port, 2, 1.0)
     request_body = {"title": "film", "group": "clips", **body}
@@ -31,7 +31,7 @@
     return hinting.intake
 
 
-def cmsd_values(answer: Answer) -> dict[str, Any]:
+def cmsd_values(answer: Response) -> dict[str, Any]:
     hops, read = cmsd.read_dynamic(answer.headers["cmsd-dynamic"])
     assert not read.lost
     return hops[-1].values
@@ -71,8 +71,8 @@
         port = world.fronts[0].port
         pool = Pool("127.0.0.1", port, 2, 1.0)
 
-        async def report(text: bytes, kind: str = cmcd.REPORTS, session: object = sess) -> Answer:
-            return await pool.request("POST", f"/sessions/{session}/hints", text, 3.0, kind=kind)
+        async def report(text: bytes, kind: str = cmcd.REPORTS, session: object = sess) -> Response:
+            return await pool.request("POST", f"/sessions/{session}/hints", text, 3.0, content_type=kind)
 
         batch = cmcd.write_reports([{"e": "t", "ts": 9_000, "tb": 900}, {"e": "ps", "ts": 5_000, "tb": 500}])
         answer = await report(batch)
@@ -125,7 +125,9 @@
 
         async def send_reports() -> None:
             for _ in range(3):
-                answer = await pool.request("POST", f"/sessions/{sess}/hints", batch, 5.0, kind=cmcd.REPORTS)
+                answer = await pool.request(
+                    "POST", f"/sessions/{sess}/hints", batch, 5.0, content_type=cmcd.REPORTS
+                )
                 assert answer.status == 200
 
         senders = [asyncio.create_task(send_reports()) for _ in range(20)]
--- a/tests/front/test_seating.py
+++ b/tests/front/test_seating.py
@@ -8,7 +8,7 @@
 from ponddoor.seats.core import Refused
 from ponddoor.seats.tokens import Token, made
 from ponddoor.standins.media import Fault
-from ponddoor.web.client import Answer
+from ponddoor.web.client import Response
 from ponddoor.web.timing import within
 
 from .conftest import World
@@ -30,7 +30,7 @@
         front.seating.core.silent_until = 0
 
 
-async def request_with_seat(world: World, viewer: str, me: int = 0, **body: Any) -> Answer:
+async def request_with_seat(world: World, viewer: str, me: int = 0, **body: Any) -> Response:
     return await world.ask(me, entitlement="film", viewer=viewer, **body)
 
 
@@ -60,7 +60,7 @@
         await end_silence(world)
         session = (await request_with_seat(world, "a")).json()
 
-        async def token_status(viewer: str = "a", me: int = 0) -> Answer:
+        async def token_status(viewer: str = "a", me: int = 0) -> Response:
             return await world.call("POST", "/seats/look", me, {"token": session["token"], "viewer": viewer})
 
         status: Any = (await token_status()).json()
@@ -87,7 +87,7 @@
         await end_silence(world)
         token = (await request_with_seat(world, "a")).json()["token"]
 
-        async def renew(token_text: Any, viewer: str = "a", me: int = 0) -> Answer:
+        async def renew(token_text: Any, viewer: str = "a", me: int = 0) -> Response:
             return await world.call("POST", "/seats/renew", me, {"token": token_text, "viewer": viewer})
 
         first, second = await asyncio.gather(renew(token), renew(token))
--- a/tests/front/test_world.py
+++ b/tests/front/test_world.py
@@ -59,7 +59,7 @@
         lines: list[bytes] = []
 
         async def read_events() -> None:
-            async for line in pool.lines(f"/sessions/{sess}/events", 5.0):
+            async for line in pool.stream_lines(f"/sessions/{sess}/events", 5.0):
                 lines.append(line)
 
         reader = asyncio.create_task(read_events())
@@ -522,14 +522,14 @@
         pool = Pool("127.0.0.1", port, 1)
         waiting = asyncio.create_task(pool.request("GET", "/", timeout=0.3))
         await asyncio.sleep(0)
-        while not pool.open:
+        while not pool.open_connections:
             await asyncio.sleep(0)
         with pytest.raises(NotSentError) as refused:
             await pool.request("GET", "/")
         assert refused.value.pool_full
         with pytest.raises(LateError):
             await waiting
-        assert pool.open == 0
+        assert pool.open_connections == 0
         server.close()
 
     asyncio.run(live())
@@ -541,7 +541,7 @@
         server, port = await start_faulty_server(answer * 2, True)
         pool = Pool("127.0.0.1", port)
         await pool.request("GET", "/")
-        assert (pool.unasked, pool.open) == (1, 0)
+        assert (pool.unsolicited_responses, pool.open_connections) == (1, 0)
         server.close()
 
     asyncio.run(live())
--- a/tests/web/test_client.py
+++ b/tests/web/test_client.py
@@ -50,7 +50,7 @@
         pool, got = Pool("127.0.0.1", server.sockets[0].getsockname()[1]), list[bytes]()
         try:
             with pytest.raises(LateError):
-                async for line in pool.lines("/", 0.3):
+                async for line in pool.stream_lines("/", 0.3):
                     got.append(line)
             assert got == [b"line"]
         finally:
