--- a/ponddoor/web/server.py
+++ b/ponddoor/web/server.py
@@ -1,4 +1,4 @@
-"""An HTTP/1.1 server (RFC 9110, RFC 9112) whose every wait, size and count has a bound.
+"""An HTTP/1.1 server (RFC 9110, RFC 9112) that bounds every wait, message size and connection count.
 
 A handler is a coroutine function from a Request to a Reply; an HttpError that it raises becomes the response.
 While it runs, the connection is watched: if the client disconnects, `Request.disconnected` is set and
@@ -18,14 +18,18 @@
 from ponddoor.web.timing import read_within
 from ponddoor.web.unread import has_unread
 
-_READ = 65_536
+_READ_BYTES = 65_536
 BodyT = TypeVar("BodyT")
-_NO_ROOM = b'{"error":"too-many-connections","detail":"no room for this connection"}'
+_CONNECTION_LIMIT_BODY = b'{"error":"too-many-connections","detail":"connection limit reached"}'
 
 
 @dataclass(frozen=True, slots=True)
 class ServerLimits:
-    """What one server takes. Times in seconds, sizes in bytes."""
+    """Limits of one server.
+
+    The head of a request must arrive within `request_timeout_s` of its first byte, its body within the same
+    time after the head. A connection without a request is closed after `idle_timeout_s`, one whose client
+    does not read what is sent after `write_timeout_s`."""
 
     max_connections: int = 10_000
     max_connections_per_address: int = 10_000
@@ -37,7 +41,7 @@
 
 
 class HttpError(Exception):
-    """An answer that is an error: status, a word for programs, a sentence for people."""
+    """An error response: status, an error code for programs, a description for people."""
 
     def __init__(
         self, status: int, code: str, detail: str, headers: tuple[tuple[str, str], ...] = ()
@@ -51,7 +55,7 @@
 
 @dataclass(slots=True)
 class Request:
-    """One request; names of headers are in lower case."""
+    """One request. Header names are in lower case; `path` holds the decoded segments."""
 
     method: str
     path: tuple[str, ...]
@@ -65,45 +69,45 @@
 
 @dataclass(slots=True)
 class Reply:
-    """One answer: a body that is written as JSON, bytes as they are, or lines while they come."""
+    """One response: a body of bytes that is sent as it is, any other body as JSON, or a stream of lines."""
 
     status: int
     body: object = None
     headers: tuple[tuple[str, str], ...] = ()
     lines: AsyncIterator[bytes] | None = None
-    close_unanswered: bool = False  # close the connection without a word (stand-ins that fail on purpose)
-    truncate_at_bytes: int = 0  # write so many bytes of the answer, then close (likewise)
+    close_unanswered: bool = False  # close without a response: the client has left, or a simulated failure
+    truncate_at_bytes: int = 0  # if not 0, send only so many bytes, then close (a simulated failure)
 
 
 Handler = Callable[[Request], Awaitable[Reply]]
 
 
 class _ClosedError(Exception):
-    """The client is gone, or so slow that it counts as gone."""
+    """The client has disconnected, or reads so slowly that it is treated as disconnected."""
 
 
-ACCEPT_TURNS = 8  # of the loop, from a connection that waits to be accepted to its first bytes handled
-END_CHECK_S = 0.001  # between two looks at the connections at the end
-LINGER_S = 1.0  # a client may need so long to read its last answer, before a close that would destroy it
-LINGERING_LIMIT = 64  # connections that linger at once; past that they end at once
+ACCEPT_LOOP_TURNS = 8  # event-loop turns from a connection in the accept queue to its first bytes handled
+SHUTDOWN_CHECK_INTERVAL_S = 0.001
+LINGER_TIMEOUT_S = 1.0  # for a client to read its last response, which an immediate close could destroy
+MAX_LINGERING_CONNECTIONS = 64  # at the same time; further ones are closed at once
 
 
 class Server:
-    """Serves one address. `closing` makes every answer the last of its connection."""
+    """Serves one address. If `closing` is set, every response is the last one of its connection."""
 
     def __init__(self, handler: Handler, limits: ServerLimits) -> None:
         self._handler, self.limits = handler, limits
         self._server: asyncio.Server | None = None
         self._connections: dict[asyncio.Task[None], _Connection] = {}
-        self._lingering = 0
-        self._by_address: dict[str, int] = {}
+        self._lingering_count = 0
+        self._count_by_address: dict[str, int] = {}
         self.closing = False
-        self.requests_in_progress = 0  # requests that have come whole and are not answered yet
+        self.requests_in_progress = 0  # received in full and not answered yet
         self.rejected_connections = 0
         self.malformed_requests = 0
 
     async def start(self, host: str, port: int) -> int:
-        """Listen; returns the port. Raises OSError where the address can't be had."""
+        """Listen; returns the port. Raises OSError if the address can't be bound."""
         self._server = await asyncio.start_server(self._accept, host, port, backlog=4096)
         return int(self._server.sockets[0].getsockname()[1])
 
@@ -111,37 +115,38 @@
         if self._server is not None:
             self._server.close()
 
-    async def shut_down(self, seconds: float) -> None:
-        """Answer what has come by now, each answer the last of its connection, and listen no more.
+    async def shut_down(self, timeout_s: float) -> None:
+        """Stop listening, answer the requests that have arrived, and close connections once they are idle.
 
-        Connections end once they are between two requests with nothing unread; streams of lines, which have
-        no end of their own, are left to `close`. It takes `seconds` at most.
-        A connection that waits to be accepted would be reset by the close."""
+        Returns when no connection is left but streams of lines, which have no end and are left to `close`, or
+        after `timeout_s`. Closing the listening socket would reset connections in its accept queue, so they
+        are accepted first."""
         self.closing = True
-        for _ in range(ACCEPT_TURNS):
+        for _ in range(ACCEPT_LOOP_TURNS):
             await asyncio.sleep(0)
         self.stop_listening()
         loop = asyncio.get_running_loop()
-        until = loop.time() + seconds
-        while loop.time() < until:
-            left = [one for one in self._connections.values() if not one.ended and not one.streaming]
-            if not left:
+        deadline = loop.time() + timeout_s
+        while loop.time() < deadline:
+            remaining = [c for c in self._connections.values() if not c.write_closed and not c.streaming]
+            if not remaining:
                 return
-            idle = [one for one in left if one.is_idle]
-            await asyncio.sleep(END_CHECK_S)  # what was read in that turn has begun a request by now
+            idle = [connection for connection in remaining if connection.is_idle]
+            # Bytes that were read in this turn of the loop have begun a request when the sleep ends.
+            await asyncio.sleep(SHUTDOWN_CHECK_INTERVAL_S)
             for connection in idle:
                 if connection.is_idle:
-                    connection.end()
+                    connection.close_write()
 
     async def close(self) -> None:
-        """Stop listening and end every connection at once."""
+        """Stop listening and abort every connection."""
         self.stop_listening()
         while self._connections:
             self.abort_connections()
             await asyncio.wait(set(self._connections), timeout=0.2)
 
     def abort_connections(self) -> None:
-        """Cut every connection where it is; go on listening."""
+        """Abort every connection, in the middle of a response too; go on listening."""
         for task in list(self._connections):
             task.cancel()
 
@@ -150,56 +155,56 @@
         return len(self._connections)
 
     async def _accept(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        peer = str(writer.get_extra_info("peername", ("?",))[0])
+        address = str(writer.get_extra_info("peername", ("?",))[0])
         task = asyncio.current_task()
-        held = self._by_address.get(peer, 0)
+        address_count = self._count_by_address.get(address, 0)
         if task is None:
             return
         if (
             len(self._connections) >= self.limits.max_connections
-            or held >= self.limits.max_connections_per_address
+            or address_count >= self.limits.max_connections_per_address
         ):
-            # Guards against connections without end: the newcomer is told so, whoever is here stays served.
+            # Bounds the number of connections: a new one gets a 503, those that are open stay served.
             self.rejected_connections += 1
             with contextlib.suppress(OSError):
                 writer.write(
                     b"HTTP/1.1 503 Service Unavailable\r\nRetry-After: 1\r\nConnection: close\r\n"
                     b"Content-Type: application/json\r\nContent-Length: %d\r\n\r\n%s"
-                    % (len(_NO_ROOM), _NO_ROOM)
+                    % (len(_CONNECTION_LIMIT_BODY), _CONNECTION_LIMIT_BODY)
                 )
                 writer.close()
             return
-        connection = self._connections[task] = _Connection(self, self._handler, reader, writer, peer)
-        self._by_address[peer] = held + 1
+        connection = self._connections[task] = _Connection(self, self._handler, reader, writer, address)
+        self._count_by_address[address] = address_count + 1
         try:
-            if await connection.run() and self._lingering < LINGERING_LIMIT:
+            if await connection.run() and self._lingering_count < MAX_LINGERING_CONNECTIONS:
                 await self._linger(connection)
         except (_ClosedError, OSError, asyncio.CancelledError):
             pass
         finally:
             writer.transport.abort()
             del self._connections[task]
-            self._by_address[peer] -= 1
-            if not self._by_address[peer]:
-                del self._by_address[peer]
+            self._count_by_address[address] -= 1
+            if not self._count_by_address[address]:
+                del self._count_by_address[address]
 
     async def _linger(self, connection: "_Connection") -> None:
-        """A close in stages (RFC 9112, section 9.6): with bytes unread it would reset the connection, which
-        may destroy the last answer."""
-        self._lingering += 1
+        """Close in stages (RFC 9112, section 9.6): closing with unread bytes resets the connection, which may
+        destroy the last response before the client has read it."""
+        self._lingering_count += 1
         try:
-            connection.end()
-            async with asyncio.timeout(LINGER_S):
-                while await connection.reader.read(_READ):
+            connection.close_write()
+            async with asyncio.timeout(LINGER_TIMEOUT_S):
+                while await connection.reader.read(_READ_BYTES):
                     pass
         except TimeoutError:
             pass
         finally:
-            self._lingering -= 1
+            self._lingering_count -= 1
 
 
 class _Connection:
-    """One connection, a request after the other."""
+    """One connection, whose requests are answered one after the other."""
 
     def __init__(
         self,
@@ -207,45 +212,45 @@
         handler: Handler,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
-        peer: str,
+        client_address: str,
     ) -> None:
         self.server, self.handler, self.limits = server, handler, server.limits
-        self.reader, self.writer, self.peer = reader, writer, peer
+        self.reader, self.writer, self.client_address = reader, writer, client_address
         self.h11 = h11.Connection(h11.SERVER, max_incomplete_event_size=self.limits.max_header_bytes)
-        self.ended = False  # nothing more is written
-        self.streaming = False  # the answer is a stream of lines
-        self._begun = False  # a request has begun and is not answered
+        self.write_closed = False
+        self.streaming = False  # a stream of lines is being sent
+        self._request_begun = False  # a request has begun and is not answered yet
 
     @property
     def is_idle(self) -> bool:
-        """Whether it is between two requests with nothing unread."""
-        return not self._begun and not has_unread(self.writer.transport)
+        """Whether it is between two requests and nothing is unread."""
+        return not self._request_begun and not has_unread(self.writer.transport)
 
-    def end(self) -> None:
-        """Write no more; the client may still read, and close."""
-        self.ended = True
+    def close_write(self) -> None:
+        """Send the end of the stream; the client can still read what was sent, and close."""
+        self.write_closed = True
         if not self.writer.transport.is_closing():
             self.writer.write_eof()
 
     async def run(self) -> bool:
-        """Serve until its end; whether the client may not have read the last answer yet."""
+        """Serve until the connection ends. Returns whether the last response may still be unread."""
         while True:
             try:
-                request = await self._request()
-            except h11.RemoteProtocolError as problem:
+                request = await self._read_request()
+            except h11.RemoteProtocolError as error:
                 self.server.malformed_requests += 1
-                status = problem.error_status_hint if 400 <= problem.error_status_hint < 500 else 400
-                await self._refuse(HttpError(status, "malformed-request", str(problem)))
+                status = error.error_status_hint if 400 <= error.error_status_hint < 500 else 400
+                await self._send_error(HttpError(status, "malformed-request", str(error)))
                 return True
-            except HttpError as problem:
+            except HttpError as error:
                 self.server.malformed_requests += 1
-                await self._refuse(problem)
+                await self._send_error(error)
                 return True
             if request is None:
                 return False
             self.server.requests_in_progress += 1
             try:
-                reply = await self._handled(request)
+                reply = await self._handle(request)
                 if reply.close_unanswered:
                     return False
                 await self._write_reply(request, reply)
@@ -258,89 +263,100 @@
             ):
                 return not reply.truncate_at_bytes
             self.h11.start_next_cycle()
-            self._begun = False
+            self._request_begun = False
 
-    async def _refuse(self, problem: HttpError) -> None:
-        """A last answer to what could not be read; the connection closes behind it."""
+    async def _send_error(self, error: HttpError) -> None:
+        """Answer a request that could not be read; the connection closes after this response."""
         if self.h11.our_state in (h11.IDLE, h11.SEND_RESPONSE):
-            await self._write_reply(None, problem.reply())
+            await self._write_reply(None, error.reply())
+
+    async def _read_request(self) -> Request | None:
+        """The next request in full; None if the connection ended or timed out between two requests.
 
-    async def _request(self) -> Request | None:
-        """The next request, whole; None where the client closed between two."""
+        Raises HttpError, and h11.RemoteProtocolError, if the request is malformed, too large or too slow."""
         head: h11.Request | None = None
         body = bytearray()
         loop, begun = asyncio.get_running_loop(), False
-        limit = loop.time() + self.limits.idle_timeout_s
+        deadline = loop.time() + self.limits.idle_timeout_s
         while True:
             event = self.h11.next_event()
             if event is h11.NEED_DATA:
                 if not begun and self.h11.trailing_data[0]:
-                    begun, limit = self._begin(), loop.time() + self.limits.request_timeout_s
+                    begun, deadline = self._begin_request(), loop.time() + self.limits.request_timeout_s
                 if self.h11.they_are_waiting_for_100_continue:
                     await self._send(h11.InformationalResponse(status_code=100, headers=[]))
-                data = await self._read(limit)
+                data = await self._read(deadline)
                 if data is None:
                     if not begun and head is None:
-                        return None  # idle for too long: closed between two requests, nobody waits
-                    raise HttpError(408, "too-slow", "the request did not come in time")
+                        return None  # idle timeout between two requests: the client expects no response
+                    raise HttpError(408, "too-slow", "the request was not complete within the time limit")
                 if data == b"" and head is None and not begun:
                     return None
                 if not begun and data:
-                    begun, limit = self._begin(), loop.time() + self.limits.request_timeout_s
+                    begun, deadline = self._begin_request(), loop.time() + self.limits.request_timeout_s
                 self.h11.receive_data(data)
             elif isinstance(event, h11.Request):
-                head, begun, limit = event, self._begin(), loop.time() + self.limits.request_timeout_s
+                head, begun, deadline = (
+                    event,
+                    self._begin_request(),
+                    loop.time() + self.limits.request_timeout_s,
+                )
             elif isinstance(event, h11.Data):
                 body += event.data
                 if len(body) > self.limits.max_body_bytes:
                     raise HttpError(413, "body-too-large", f"more than {self.limits.max_body_bytes} bytes")
             elif isinstance(event, h11.EndOfMessage) and head is not None:
-                return self._made(head, bytes(body))
+                return self._parse_request(head, bytes(body))
             elif isinstance(event, h11.ConnectionClosed):
                 return None
-            else:  # h11.PAUSED: a request in front of this one is not answered; can't be, we answer in turn
+            else:  # h11.PAUSED: the previous request is unanswered; impossible, as they are answered in turn
                 raise _ClosedError
 
-    def _begin(self) -> bool:
-        self._begun = True
+    def _begin_request(self) -> bool:
+        self._request_begun = True
         return True
 
-    def _made(self, head: h11.Request, body: bytes) -> Request:
+    def _parse_request(self, head: h11.Request, body: bytes) -> Request:
+        """Raises HttpError 400 if the request target is malformed."""
         try:
             target = urlsplit(head.target.decode("ascii"))
             path = tuple(unquote(part, errors="strict") for part in target.path.strip("/").split("/"))
             query = dict(parse_qsl(target.query, keep_blank_values=True, max_num_fields=50))
-        except (ValueError, UnicodeDecodeError) as problem:
-            raise HttpError(400, "malformed-target", str(problem)) from None
+        except (ValueError, UnicodeDecodeError) as error:
+            raise HttpError(400, "malformed-target", str(error)) from None
         headers: dict[str, str] = {}
-        for raw, value in head.headers:  # a field in several lines is one (RFC 9110, section 5.3)
-            name, text = raw.decode("ascii"), value.decode("latin-1")
-            headers[name] = f"{headers[name]}, {text}" if name in headers else text
-        return Request(head.method.decode("ascii"), path, query, headers, body, self.peer)
-
-    async def _read(self, limit: float) -> bytes | None:
-        """What comes next; empty at the end of the stream, None at the limit."""
-        left = limit - asyncio.get_running_loop().time()
+        for (
+            raw_name,
+            raw_value,
+        ) in head.headers:  # field lines of one name are combined (RFC 9110, section 5.3)
+            name, value = raw_name.decode("ascii"), raw_value.decode("latin-1")
+            headers[name] = f"{headers[name]}, {value}" if name in headers else value
+        return Request(head.method.decode("ascii"), path, query, headers, body, self.client_address)
+
+    async def _read(self, deadline: float) -> bytes | None:
+        """The next bytes; empty at the end of the stream, None at the deadline."""
+        remaining_s = deadline - asyncio.get_running_loop().time()
         try:
-            return await read_within(max(left, 0.001), self.reader, _READ)
+            return await read_within(max(remaining_s, 0.001), self.reader, _READ_BYTES)
         except TimeoutError:
             return None
 
-    async def _handled(self, request: Request) -> Reply:
-        """The handler's answer, with an eye on the connection meanwhile."""
-        watch = asyncio.create_task(self._watch(request))
+    async def _handle(self, request: Request) -> Reply:
+        """The handler's reply; the connection is watched while the handler runs."""
+        watch = asyncio.create_task(self._watch_for_disconnect(request))
         try:
             return await self.handler(request)
-        except HttpError as problem:
-            return problem.reply()
+        except HttpError as error:
+            return error.reply()
         finally:
             watch.cancel()
-            await asyncio.wait((watch,))  # not awaited itself: a cancel of ours must not pass for its own
+            # Not awaited directly: a cancellation of this task must not be taken for that of the watch.
+            await asyncio.wait((watch,))
 
-    async def _watch(self, request: Request) -> None:
-        """Reads ahead while a request is in hand, a little at most, to see the client go."""
-        ahead = 0
-        while ahead < _READ:
+    async def _watch_for_disconnect(self, request: Request) -> None:
+        """Read ahead while a request is handled, up to a bound, to notice when the client disconnects."""
+        read_ahead_bytes = 0
+        while read_ahead_bytes < _READ_BYTES:
             data = b""
             with contextlib.suppress(OSError):
                 data = await self.reader.read(4096)
@@ -349,7 +365,7 @@
                 if request.on_disconnect is not None:
                     request.on_disconnect()
                 return
-            ahead += len(data)
+            read_ahead_bytes += len(data)
             self.h11.receive_data(data)
 
     async def _send(self, event: h11.Event) -> None:
@@ -359,11 +375,12 @@
         try:
             async with asyncio.timeout(self.limits.write_timeout_s):
                 await self.writer.drain()
-        except TimeoutError:  # guards against readers so slow that answers would pile up
+        except TimeoutError:  # responses would pile up in memory for a client that reads too slowly
             raise _ClosedError from None
 
     async def _write_reply(self, request: Request | None, reply: Reply) -> None:
-        text = (
+        """Send a response; without a request, or if the server is closing, the last one of the connection."""
+        body = (
             b""
             if reply.body is None
             else (reply.body if isinstance(reply.body, bytes) else msgspec.json.encode(reply.body))
@@ -374,7 +391,7 @@
         else:
             if not any(name.lower() == "content-type" for name, _ in headers):
                 headers.append(("Content-Type", "application/json"))
-            headers.append(("Content-Length", str(len(text))))
+            headers.append(("Content-Length", str(len(body))))
         if self.server.closing or request is None:
             headers.append(("Connection", "close"))
         try:
@@ -383,7 +400,7 @@
             reason = ""
         head = h11.Response(status_code=reply.status, headers=headers, reason=reason)
         if reply.truncate_at_bytes:
-            self.writer.write(((self.h11.send(head) or b"") + text)[: reply.truncate_at_bytes])
+            self.writer.write(((self.h11.send(head) or b"") + body)[: reply.truncate_at_bytes])
             return
         data = self.h11.send(head) or b""
         if reply.lines is not None:
@@ -392,47 +409,50 @@
             await self._write_lines(reply.lines)
             self.streaming = False
             return
-        if text and (request is None or request.method != "HEAD"):
-            data += self.h11.send(h11.Data(data=text)) or b""
+        if body and (request is None or request.method != "HEAD"):
+            data += self.h11.send(h11.Data(data=body)) or b""
         self.writer.write(data)
         await self._send(h11.EndOfMessage())
 
     async def _write_lines(self, lines: AsyncIterator[bytes]) -> None:
-        """A stream of lines; what the client sends meanwhile is an end or is read over."""
-        closed = asyncio.create_task(self._until_closed())
-        turn = asyncio.create_task(_next(lines))
+        """Send a stream of lines. Bytes that the client sends meanwhile are discarded.
+
+        Raises _ClosedError once the client closes the connection."""
+        closed = asyncio.create_task(self._read_until_closed())
+        next_line = asyncio.create_task(_next_line(lines))
         try:
             while True:
-                await asyncio.wait({closed, turn}, return_when=asyncio.FIRST_COMPLETED)
+                await asyncio.wait({closed, next_line}, return_when=asyncio.FIRST_COMPLETED)
                 if closed.done():
                     raise _ClosedError
-                line = turn.result()
+                line = next_line.result()
                 if line is None:
                     break
                 await self._send(h11.Data(data=line))
-                turn = asyncio.create_task(_next(lines))
+                next_line = asyncio.create_task(_next_line(lines))
             await self._send(h11.EndOfMessage())
         finally:
-            for task in (closed, turn):
+            for task in (closed, next_line):
                 task.cancel()
-            await asyncio.gather(closed, turn, return_exceptions=True)
+            await asyncio.gather(closed, next_line, return_exceptions=True)
             close = getattr(lines, "aclose", None)
             if close is not None:
                 await close()
 
-    async def _until_closed(self) -> None:
+    async def _read_until_closed(self) -> None:
         with contextlib.suppress(OSError):
             while await self.reader.read(4096):
                 pass
 
 
-async def _next(lines: AsyncIterator[bytes]) -> bytes | None:
+async def _next_line(lines: AsyncIterator[bytes]) -> bytes | None:
+    """The next line; None at the end."""
     return await anext(lines, None)
 
 
 def decode_json_body(body: bytes, body_type: type[BodyT]) -> BodyT:
-    """A JSON body as a msgspec struct. Raises HttpError 400 that names the field."""
+    """A JSON body as an instance of `body_type`. Raises HttpError 400 whose detail names the field."""
     try:
         return msgspec.json.decode(body, type=body_type)
-    except msgspec.MsgspecError as problem:
-        raise HttpError(400, "malformed-body", str(problem)) from None
+    except msgspec.MsgspecError as error:
+        raise HttpError(400, "malformed-body", str(error)) from None
--- a/tests/web/test_server.py
+++ b/tests/web/test_server.py
@@ -67,7 +67,7 @@
 
 
 def test_a_client_that_never_closes_does_not_hold_its_connection(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(web_server, "LINGER_S", 0.05)
+    monkeypatch.setattr(web_server, "LINGER_TIMEOUT_S", 0.05)
 
     async def course(server: Server, client: socket.socket) -> None:
         await asyncio.get_running_loop().sock_sendall(client, b"nonsense\r\n\r\n")
