--- a/ponddoor/web/client.py
+++ b/ponddoor/web/client.py
@@ -1,4 +1,4 @@
-"""An HTTP/1.1 client with pooled, bounded connections, one exchange at a time on each."""
+"""An HTTP/1.1 client with a bounded pool of connections, each of which carries one exchange at a time."""
 
 import asyncio
 import contextlib
@@ -11,25 +11,28 @@
 
 from ponddoor.web.unread import has_unread
 
-_READ = 65_536
-MAX_RETRY_AFTER_S = 60.0  # s: a longer Retry-After is not heeded whole
+_READ_BYTES = 65_536
+MAX_RETRY_AFTER_S = 60.0  # a longer Retry-After is cut to this
 
 
 class NotSentError(Exception):
-    """Nothing was sent: no connection could be had. `why` says whether the pool or the network refused."""
+    """Nothing was sent, as no connection was available.
 
-    def __init__(self, why: str, pool_full: bool = False, connection_refused: bool = False) -> None:
-        super().__init__(why)
+    `pool_full` if the pool was at its limit, `connection_refused` if the address refused the connection."""
+
+    def __init__(self, reason: str, pool_full: bool = False, connection_refused: bool = False) -> None:
+        super().__init__(reason)
         self.pool_full, self.connection_refused = pool_full, connection_refused
 
 
 class BrokenError(Exception):
-    """The connection was lost, or what came back is no HTTP, after the request may have been read."""
+    """The connection was lost or the response is invalid; the request may have been processed."""
 
 
 class UnexpectedStatusError(BrokenError):
-    """An answer that is no stream: its status and headers, and the seconds that its Retry-After asks to stay
-    away."""
+    """The response to a request for a stream has a status other than 200.
+
+    `retry_after_s` is its Retry-After, MAX_RETRY_AFTER_S at most; 0 if it has none in seconds."""
 
     def __init__(self, status: int, retry_after_s: float, headers: dict[str, str] | None = None) -> None:
         super().__init__(f"status {status}")
@@ -37,42 +40,44 @@
 
 
 class OversizeError(BrokenError):
-    """A line or an answer over its bound; what came of it is thrown away."""
+    """A line or a response exceeds its size limit; what was received of it is discarded."""
 
 
 class LateError(Exception):
-    """No whole answer within the time."""
+    """The response was not complete within the time-out."""
 
 
 @dataclass(slots=True)
 class Response:
-    """A whole answer."""
+    """A complete response. Header names are in lower case."""
 
     status: int
     headers: dict[str, str]
     body: bytes
 
     def json(self) -> dict[str, object]:
-        """The body as an object. Raises BrokenError where it is none."""
+        """The body as a JSON object. Raises BrokenError if it is not one."""
         try:
             return msgspec.json.decode(self.body, type=dict[str, object])
-        except msgspec.MsgspecError as problem:
-            raise BrokenError(f"a body that is no JSON object: {problem}") from None
+        except msgspec.MsgspecError as error:
+            raise BrokenError(f"response body is not a JSON object: {error}") from None
 
 
 @dataclass(slots=True, eq=False)
-class _Wire:
+class _ClientConnection:
     reader: asyncio.StreamReader
     writer: asyncio.StreamWriter
     http: h11.Connection
-    since: float = 0.0
+    idle_since: float = 0.0  # in seconds of the event loop's clock
 
     def close(self) -> None:
         self.writer.transport.abort()
 
     @property
-    def dead(self) -> bool:
-        """Whether the far end has closed, or said what nobody asked, read or unread: seen without a write."""
+    def is_unusable(self) -> bool:
+        """Whether the server has closed, or has sent anything without a request, read or unread.
+
+        Found without a write, so that no request is lost on a closed connection."""
         return self.reader.at_eof() or self.writer.is_closing() or has_unread(self.writer.transport)
 
     async def send(
@@ -84,6 +89,7 @@
         headers: tuple[tuple[str, str], ...],
         content_type: str = "application/json",
     ) -> None:
+        """Send a request; `content_type` is that of its body, if there is one."""
         fields = [("Host", host), *headers]
         if body:
             fields += [("Content-Type", content_type), ("Content-Length", str(len(body)))]
@@ -94,28 +100,30 @@
         self.writer.write(data)
         await self.writer.drain()
 
-    async def event(self) -> h11.Event:
+    async def read_event(self) -> h11.Event:
+        """The next event of the response; informational (1xx) responses are skipped."""
         while True:
             event = self.http.next_event()
             if event is h11.NEED_DATA:
-                self.http.receive_data(await self.reader.read(_READ))
+                self.http.receive_data(await self.reader.read(_READ_BYTES))
             elif isinstance(event, h11.InformationalResponse):
                 continue
             elif isinstance(event, h11.Event):
                 return event
             else:
-                raise BrokenError("the answer did not end where it said")
+                raise BrokenError("data after the end of the response")
 
-    async def head(self) -> h11.Response:
-        event = await self.event()
+    async def read_head(self) -> h11.Response:
+        event = await self.read_event()
         if not isinstance(event, h11.Response):
-            raise BrokenError("closed without an answer")
+            raise BrokenError("connection closed before a response")
         return event
 
 
 @dataclass(slots=True)
 class Pool:
-    """Connections to one address, `most` at once; idle ones are used newest first. Times in seconds."""
+    """Connections to one address, `max_connections` at most. The one that was idle for the shortest is used
+    first; one that was idle for `idle_timeout_s` is closed instead of used."""
 
     host: str
     port: int
@@ -123,24 +131,25 @@
     connect_timeout_s: float = 0.25
     idle_timeout_s: float = 30.0
     max_body_bytes: int = 1_000_000
-    unsolicited_responses: int = 0  # answers that nobody had asked for
-    _idle: deque[_Wire] = field(default_factory=deque)
-    _out: set[_Wire] = field(default_factory=set)
-    _opening: int = 0
+    unsolicited_responses: int = 0  # responses received without a request
+    _idle: deque[_ClientConnection] = field(default_factory=deque)
+    _in_use: set[_ClientConnection] = field(default_factory=set)
+    _connecting_count: int = 0
 
     @property
     def open_connections(self) -> int:
-        return len(self._idle) + len(self._out) + self._opening
+        """Connections that are idle, in use or being opened."""
+        return len(self._idle) + len(self._in_use) + self._connecting_count
 
     def close_idle(self) -> None:
         while self._idle:
             self._idle.pop().close()
 
     def close(self) -> None:
-        """Close all; who waits for an answer gets BrokenError."""
+        """Close all connections; requests in progress raise BrokenError."""
         self.close_idle()
-        for wire in list(self._out):
-            wire.close()
+        for connection in list(self._in_use):
+            connection.close()
 
     async def request(
         self,
@@ -151,27 +160,30 @@
         headers: tuple[tuple[str, str], ...] = (),
         content_type: str = "application/json",
     ) -> Response:
-        """One exchange; a body of bytes goes as it is, of media type `content_type`, any other as JSON.
+        """The response to one request, whatever its status, within `timeout` seconds.
 
-        Raises NotSentError, BrokenError or LateError; a late one's connection is closed."""
+        A body of bytes is sent as it is, any other as JSON. Raises NotSentError, BrokenError, or LateError;
+        after the last two the connection is closed."""
         try:
             async with asyncio.timeout(timeout):
-                wire = await self._take()
-                done = False
+                connection = await self._acquire()
+                reusable = False
                 try:
-                    answer = await self._exchange(wire, method, path, body, headers, content_type)
-                    done = wire.http.our_state is h11.DONE and wire.http.their_state is h11.DONE
-                    return answer
-                except (OSError, h11.RemoteProtocolError) as problem:
-                    raise BrokenError(str(problem) or type(problem).__name__) from None
+                    response = await self._exchange(connection, method, path, body, headers, content_type)
+                    reusable = (
+                        connection.http.our_state is h11.DONE and connection.http.their_state is h11.DONE
+                    )
+                    return response
+                except (OSError, h11.RemoteProtocolError) as error:
+                    raise BrokenError(str(error) or type(error).__name__) from None
                 finally:
-                    self._give_back(wire, done)
+                    self._release(connection, reusable)
         except TimeoutError:
-            raise LateError(f"no answer in {timeout:g} s") from None
+            raise LateError(f"no complete response within {timeout:g} s") from None
 
     async def _exchange(
         self,
-        wire: _Wire,
+        connection: _ClientConnection,
         method: str,
         path: str,
         body: object,
@@ -179,100 +191,104 @@
         content_type: str,
     ) -> Response:
         data = b"" if body is None else body if isinstance(body, bytes) else msgspec.json.encode(body)
-        await wire.send(method, path, f"{self.host}:{self.port}", data, headers, content_type)
-        head, text = await wire.head(), bytearray()
-        while not isinstance(event := await wire.event(), h11.EndOfMessage):
+        await connection.send(method, path, f"{self.host}:{self.port}", data, headers, content_type)
+        head, response_body = await connection.read_head(), bytearray()
+        while not isinstance(event := await connection.read_event(), h11.EndOfMessage):
             if not isinstance(event, h11.Data):
-                raise BrokenError("closed in the middle of an answer")
-            text += event.data
-            if len(text) > self.max_body_bytes:
-                raise OversizeError(f"an answer of more than {self.max_body_bytes} bytes")
-        return Response(head.status_code, _headers(head), bytes(text))
+                raise BrokenError("connection closed in the middle of a response")
+            response_body += event.data
+            if len(response_body) > self.max_body_bytes:
+                raise OversizeError(f"response body exceeds {self.max_body_bytes} bytes")
+        return Response(head.status_code, _headers(head), bytes(response_body))
 
     async def stream_lines(
         self, path: str, silence_timeout_s: float, max_line_bytes: int = 1_000_000
     ) -> AsyncGenerator[bytes, None]:
-        """The lines of an endless answer, on a connection of its own. Ends only by raising: NotSentError,
-        BrokenError, or LateError after `silence_timeout_s` seconds without a whole line."""
-        wire = await self._open()
+        """The lines of an endless response to GET, on a connection of its own.
+
+        Ends only by an exception: NotSentError; UnexpectedStatusError, OversizeError or another BrokenError;
+        or LateError after `silence_timeout_s` without a whole line."""
+        connection = await self._connect()
         try:
             async with asyncio.timeout(silence_timeout_s):
-                await wire.send("GET", path, f"{self.host}:{self.port}", b"", ())
-                head = await wire.head()
+                await connection.send("GET", path, f"{self.host}:{self.port}", b"", ())
+                head = await connection.read_head()
             if head.status_code != 200:
                 headers = _headers(head)
-                told = headers.get("retry-after", "")
-                away = min(int(told), MAX_RETRY_AFTER_S) if told.isdigit() else 0.0
-                raise UnexpectedStatusError(head.status_code, away, headers)
-            text, loop = b"", asyncio.get_running_loop()
-            due = loop.time() + silence_timeout_s
+                retry_after = headers.get("retry-after", "")
+                retry_after_s = min(int(retry_after), MAX_RETRY_AFTER_S) if retry_after.isdigit() else 0.0
+                raise UnexpectedStatusError(head.status_code, retry_after_s, headers)
+            partial_line, loop = b"", asyncio.get_running_loop()
+            deadline = loop.time() + silence_timeout_s
             while True:
-                async with asyncio.timeout_at(due):
-                    event = await wire.event()
+                async with asyncio.timeout_at(deadline):
+                    event = await connection.read_event()
                 if not isinstance(event, h11.Data):
                     raise BrokenError("the stream ended")
-                text += bytes(event.data)
-                *whole, text = text.split(b"\n")
-                if len(text) > max_line_bytes:
-                    raise OversizeError(f"a line of more than {max_line_bytes} bytes")
-                for line in whole:
+                partial_line += bytes(event.data)
+                *lines, partial_line = partial_line.split(b"\n")
+                if len(partial_line) > max_line_bytes:
+                    raise OversizeError(f"line exceeds {max_line_bytes} bytes")
+                for line in lines:
                     yield line
-                if whole:  # who stopped in a line, or drips, says nothing
-                    due = loop.time() + silence_timeout_s
+                if lines:  # bytes of a line that is not complete don't count as a sign of life
+                    deadline = loop.time() + silence_timeout_s
         except TimeoutError:
-            raise LateError(f"silent for {silence_timeout_s:g} s") from None
-        except (OSError, h11.RemoteProtocolError) as problem:
-            raise BrokenError(str(problem) or type(problem).__name__) from None
+            raise LateError(f"no whole line within {silence_timeout_s:g} s") from None
+        except (OSError, h11.RemoteProtocolError) as error:
+            raise BrokenError(str(error) or type(error).__name__) from None
         finally:
-            self._out.discard(wire)
-            wire.close()
+            self._in_use.discard(connection)
+            connection.close()
 
-    async def _take(self) -> _Wire:
+    async def _acquire(self) -> _ClientConnection:
         now = asyncio.get_running_loop().time()
         while self._idle:
-            wire = self._idle.pop()
-            if not wire.dead and now - wire.since < self.idle_timeout_s:
-                self._out.add(wire)
-                return wire
-            wire.close()
-        return await self._open()
-
-    async def _open(self) -> _Wire:
+            connection = self._idle.pop()
+            if not connection.is_unusable and now - connection.idle_since < self.idle_timeout_s:
+                self._in_use.add(connection)
+                return connection
+            connection.close()
+        return await self._connect()
+
+    async def _connect(self) -> _ClientConnection:
         if self.open_connections >= self.max_connections:
             raise NotSentError(
-                f"{self.max_connections} connections to {self.host}:{self.port} are open", pool_full=True
+                f"pool is full: {self.max_connections} connections to {self.host}:{self.port} are open",
+                pool_full=True,
             )
-        self._opening += 1
+        self._connecting_count += 1
         try:
             async with asyncio.timeout(self.connect_timeout_s):
                 reader, writer = await asyncio.open_connection(self.host, self.port)
         except TimeoutError:
-            raise NotSentError(f"no connection in {self.connect_timeout_s:g} s") from None
-        except OSError as problem:
+            raise NotSentError(f"not connected within {self.connect_timeout_s:g} s") from None
+        except OSError as error:
             raise NotSentError(
-                str(problem), connection_refused=isinstance(problem, ConnectionRefusedError)
+                str(error), connection_refused=isinstance(error, ConnectionRefusedError)
             ) from None
         finally:
-            self._opening -= 1
-        wire = _Wire(reader, writer, h11.Connection(h11.CLIENT))
-        self._out.add(wire)
-        return wire
-
-    def _give_back(self, wire: _Wire, done: bool) -> None:
-        self._out.discard(wire)
-        if done and wire.http.trailing_data[0]:
-            # Guards against a far end that answers twice: the second answer would pass for the next one's.
+            self._connecting_count -= 1
+        connection = _ClientConnection(reader, writer, h11.Connection(h11.CLIENT))
+        self._in_use.add(connection)
+        return connection
+
+    def _release(self, connection: _ClientConnection, reusable: bool) -> None:
+        self._in_use.discard(connection)
+        if reusable and connection.http.trailing_data[0]:
+            # The server answered twice: the second response would be taken for that to the next request.
             self.unsolicited_responses += 1
-            done = False
-        if done and not wire.dead:
-            wire.http.start_next_cycle()
-            wire.since = asyncio.get_running_loop().time()
-            self._idle.append(wire)
+            reusable = False
+        if reusable and not connection.is_unusable:
+            connection.http.start_next_cycle()
+            connection.idle_since = asyncio.get_running_loop().time()
+            self._idle.append(connection)
         else:
-            wire.close()
+            connection.close()
 
 
 def _headers(head: h11.Response) -> dict[str, str]:
+    """The headers of a response; none if a name is not ASCII."""
     with contextlib.suppress(UnicodeDecodeError):
         return {name.decode("ascii"): value.decode("latin-1") for name, value in head.headers}
     return {}
