--- a/ponddoor/web/__init__.py
+++ b/ponddoor/web/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP/1.1 over asyncio streams: h11 parses, this package bounds, times and pools."""
+"""HTTP/1.1 server and client over asyncio streams. h11 parses; this package limits, times out and pools."""
--- a/ponddoor/web/connecting.py
+++ b/ponddoor/web/connecting.py
@@ -1,4 +1,4 @@
-"""Connects to a TCP address within a time, by which a process that stood meanwhile is not judged."""
+"""Opens TCP connections with a time-out that tolerates pauses of this process."""
 
 import asyncio
 import contextlib
@@ -7,29 +7,29 @@
 from ponddoor.web.timing import within
 
 
-async def connect_within(seconds: float, host: str, port: int) -> socket.socket:
-    """A connected socket that does not block. Raises OSError, and TimeoutError after so many seconds.
+async def connect_within(timeout_s: float, host: str, port: int) -> socket.socket:
+    """A connected, non-blocking socket. Raises OSError, and TimeoutError after `timeout_s`.
 
-    A process may get no time until its limit is over. A connection that has come up by then may already carry
-    something, so it is used."""
+    If this process is not scheduled until the time-out is over, the connection may have been established in
+    the meantime. It is then returned, as it may already carry data."""
     family = socket.AF_INET6 if ":" in host else socket.AF_INET
-    opened = socket.socket(family, socket.SOCK_STREAM, socket.IPPROTO_TCP)
-    opened.setblocking(False)
-    opened.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+    tcp_socket = socket.socket(family, socket.SOCK_STREAM, socket.IPPROTO_TCP)
+    tcp_socket.setblocking(False)
+    tcp_socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     try:
-        await within(seconds, asyncio.get_running_loop().sock_connect(opened, (host, port)))
+        await within(timeout_s, asyncio.get_running_loop().sock_connect(tcp_socket, (host, port)))
     except TimeoutError:
-        if not _is_connected(opened):
-            opened.close()
+        if not _is_connected(tcp_socket):
+            tcp_socket.close()
             raise
     except BaseException:
-        opened.close()
+        tcp_socket.close()
         raise
-    return opened
+    return tcp_socket
 
 
-def _is_connected(opened: socket.socket) -> bool:
+def _is_connected(tcp_socket: socket.socket) -> bool:
     with contextlib.suppress(OSError):
-        opened.getpeername()
+        tcp_socket.getpeername()
         return True
     return False
