--- a/ponddoor/web/client.py
+++ b/ponddoor/web/client.py
@@ -30,9 +30,9 @@
 
 
 class UnexpectedStatusError(BrokenError):
-    """The response to a request for a stream has a status other than 200.
+    """The response has a status other than 200, so it is not the requested stream or document.
 
-    `retry_after_s` is its Retry-After, MAX_RETRY_AFTER_S at most; 0 if it has none in seconds."""
+    `retry_after_s` is a stream's Retry-After, MAX_RETRY_AFTER_S at most; 0 if it gives no seconds."""
 
     def __init__(self, status: int, retry_after_s: float, headers: dict[str, str] | None = None) -> None:
         super().__init__(f"status {status}")
