--- a/ponddoor/rehearse/hollow_process.py
+++ b/ponddoor/rehearse/hollow_process.py
@@ -28,7 +28,7 @@
 from ponddoor.settings.site import Site
 from ponddoor.standins.media import Fault
 from ponddoor.web.client import BrokenError, LateError, NotSentError, Pool
-from ponddoor.web.server import Bounds, HttpError, Reply, Request, Server, decoded
+from ponddoor.web.server import HttpError, Reply, Request, Server, ServerLimits, decode_json_body
 
 LATE = 80_000  # us, about what a front waits for another's answer
 MOST_CHANGES = 500_000  # of who stands how, that are kept to be told
@@ -98,7 +98,9 @@
     roster: Roster = field(init=False)
 
     def __post_init__(self) -> None:
-        self._control = Server(self.handle, Bounds(connections=20, per_address=20, body_bytes=BODY))
+        self._control = Server(
+            self.handle, ServerLimits(max_connections=20, max_connections_per_address=20, max_body_bytes=BODY)
+        )
         self.roster = Roster(
             self.site.zones, self.site.kinds, self.site.facts.plant.cells, clock() - wall_clock_us()
         )
@@ -162,10 +164,10 @@
         host, port = self.site.listing.address
         silence = self.site.listing.silence / SECOND
         while True:
-            pool = Pool(host, port, 2, 1.0, 5.0, most_body=50_000_000)
+            pool = Pool(host, port, 2, 1.0, 5.0, max_body_bytes=50_000_000)
             path = f"/watch?front={self.mine[0]}&list={self.roster.list_id}&version={self.roster.version}"
             try:
-                async for line in pool.lines(path, silence, 50_000_000):
+                async for line in pool.stream_lines(path, silence, 50_000_000):
                     self._take(line)
             except GapError:
                 self.roster.list_id, self.roster.version = "", 0
@@ -237,7 +239,7 @@
             case "GET", ("ready",):
                 return Reply(200, {"listed": len(self.roster.entries), "lives": self._lives()})
             case "POST", ("order",):
-                await self.order(decoded(request.body, Order))
+                await self.order(decode_json_body(request.body, Order))
                 return Reply(204)
             case _:
                 raise HttpError(404, "no-such-resource", "GET /told and /ready, POST /order")
--- a/ponddoor/standins/listing.py
+++ b/ponddoor/standins/listing.py
@@ -15,7 +15,7 @@
 from ponddoor.front.roster import Entry, ListMessage
 from ponddoor.settings.site import Site
 from ponddoor.standins.capacity import Capacity, Verdict
-from ponddoor.web.server import Bounds, HttpError, Reply, Request, Server, decoded
+from ponddoor.web.server import HttpError, Reply, Request, Server, ServerLimits, decode_json_body
 from ponddoor.web.timing import within
 
 HISTORY = 1000
@@ -61,8 +61,10 @@
         self.draining: set[int] = set()
         self.down = False
         self.news = asyncio.Event()
-        self.web = Server(self.handle, Bounds(idle_time=300))
-        self.control = Server(self.handle_control, Bounds(connections=20, per_address=20))
+        self.web = Server(self.handle, ServerLimits(idle_timeout_s=300))
+        self.control = Server(
+            self.handle_control, ServerLimits(max_connections=20, max_connections_per_address=20)
+        )
         self.tasks: set[asyncio.Task[None]] = set()
 
     async def start(self, port: int | None = None, control_port: int = 0) -> tuple[int, int]:
@@ -112,7 +114,7 @@
     async def handle(self, request: Request) -> Reply:
         match request.method, request.path:
             case "POST", ("register",):
-                return Reply(200, {"others": self.registered(decoded(request.body, Beat))})
+                return Reply(200, {"others": self.registered(decode_json_body(request.body, Beat))})
             case "GET", ("servers",) if not self.down:
                 return Reply(200, self.whole())
             case "GET", ("watch",):
@@ -122,7 +124,7 @@
                 version = int(query.get("version", "0")) if query.get("list") == self.list_id else 0
                 return Reply(200, lines=self.lines(int(query.get("front", "0")), version))
             case _ if self.down:
-                return Reply(503, drop=True)
+                return Reply(503, close_unanswered=True)
             case _:
                 raise HttpError(404, "no-such-resource", "/".join(request.path)[:100])
 
@@ -135,7 +137,7 @@
             self.rec.note("list-fell", times=len(self.capacity.falls))
             self.wake()
         if verdict is Verdict.FALLEN:
-            return Reply(503, drop=True)
+            return Reply(503, close_unanswered=True)
         if verdict is Verdict.TURNED_AWAY:
             return Reply(503, headers=(("Retry-After", str(RETRY_AFTER)),))
         await asyncio.sleep(takes / 1e6)
@@ -187,7 +189,7 @@
                 continue
 
     async def handle_control(self, request: Request) -> Reply:
-        self.order(decoded(request.body, Order))
+        self.order(decode_json_body(request.body, Order))
         return Reply(204)
 
     def order(self, order: Order) -> None:
--- a/ponddoor/standins/media.py
+++ b/ponddoor/standins/media.py
@@ -20,7 +20,7 @@
 from ponddoor.hints import cmcd, cmsd
 from ponddoor.settings.site import Site
 from ponddoor.web.client import BrokenError, LateError, NotSentError, Pool
-from ponddoor.web.server import Bounds, HttpError, Reply, Request, Server, decoded
+from ponddoor.web.server import HttpError, Reply, Request, Server, ServerLimits, decode_json_body
 from ponddoor.web.timing import within
 
 TICK = 0.1
@@ -112,8 +112,10 @@
         self.fallen = False
         self.rack_others, self.share, self.short_before = 0.0, 1.0, False
         self.history: deque[tuple[float, dict[str, float]]] = deque(maxlen=100)
-        self.web = Server(self.handle, Bounds(idle_time=300, write_time=30))
-        self.control = Server(self.handle_control, Bounds(connections=20, per_address=20))
+        self.web = Server(self.handle, ServerLimits(idle_timeout_s=300, write_timeout_s=30))
+        self.control = Server(
+            self.handle_control, ServerLimits(max_connections=20, max_connections_per_address=20)
+        )
         self.tasks: list[asyncio.Task[None]] = []
         self.delayed: set[asyncio.TimerHandle] = set()
 
@@ -259,7 +261,7 @@
                 self.cancel((sess, int(attempt)))
                 return Reply(204)
             case "PUT", ("setups", sess, attempt, "rung"):
-                rung = decoded(request.body, Rung).rung
+                rung = decode_json_body(request.body, Rung).rung
                 self.rec.note("rung", sess=sess, attempt=int(attempt), rung=rung, server=self.entry.server)
                 await self.awake.wait()
                 stream = self.streams.get((sess, int(attempt)))
@@ -351,7 +353,7 @@
         self.delayed.add(handle)
 
     async def setup(self, request: Request) -> Reply:
-        got = decoded(request.body, Setup)
+        got = decode_json_body(request.body, Setup)
         key, server = (got.sess, got.attempt), self.entry.server
         self.rec.note(
             "setup",
@@ -388,8 +390,8 @@
         if lost and float(self.rng.uniform()) < lost.size and result == "started":
             self.rec.note("answer-lost", sess=got.sess, attempt=got.attempt, server=server, how=lost.how)
             if lost.how != "reset":
-                await request.gone.wait()
-            return Reply(500, drop=True)
+                await request.disconnected.wait()
+            return Reply(500, close_unanswered=True)
         self.rec.note("outcome", sess=got.sess, attempt=got.attempt, server=server, result=result)
         inline = self.site.facts.reporting.value == "inline"
         body = {
@@ -402,7 +404,7 @@
         return Reply({"started": 200, "full": 503, "error": 500, "cancelled": 409}[result], body)
 
     async def gone(self, request: Request, got: Setup) -> None:
-        await request.gone.wait()
+        await request.disconnected.wait()
         self.rec.note("given-up", sess=got.sess, attempt=got.attempt, server=self.entry.server)
         self.cancel((got.sess, got.attempt))
 
@@ -507,7 +509,7 @@
     async def handle_control(self, request: Request) -> Reply:
         if request.method == "GET":
             return Reply(200, {"streams": [list(key) for key in self.streams], "asked": self.asked()})
-        self.fault(decoded(request.body, Fault))
+        self.fault(decode_json_body(request.body, Fault))
         return Reply(204)
 
     def fault(self, fault: Fault) -> None:
@@ -541,4 +543,4 @@
             warm=False,
             kind=self.site.kinds.index(self.entry.kind),
         )
-        self.web.drop_all()
+        self.web.abort_connections()
