--- a/ponddoor/front/seating.py
+++ b/ponddoor/front/seating.py
@@ -10,7 +10,7 @@
 
 from ponddoor.front.words import wall_clock_us
 from ponddoor.seats.core import Effect, Expired, Granted, Key, Message, Refused, Seats, Send, Timing, Write
-from ponddoor.seats.tokens import Token, made
+from ponddoor.seats.tokens import Token, encode_token
 from ponddoor.seats.wire import pack, unpack
 from ponddoor.store.committer import Committer
 from ponddoor.store.files import Disk
@@ -118,7 +118,7 @@
         """The signed token of a grant. It expires by the wall clock, in microseconds."""
         expires_us = wall_clock_us() + grant.expires - self.clock()
         token = Token(*grant.key, grant.viewer, grant.sess, grant.seat, grant.generation, self.me, expires_us)
-        return made(token, self.key)
+        return encode_token(token, self.key)
 
     def handle_payload(self, peer: int, payload: bytes) -> bool:
         """Handles a payload from another front. Returns False if it is not a message about seats."""
--- a/ponddoor/front/viewers.py
+++ b/ponddoor/front/viewers.py
@@ -18,7 +18,7 @@
 from ponddoor.front.taking import Terms
 from ponddoor.hints import cmsd
 from ponddoor.seats.core import Granted, Key, Refused
-from ponddoor.seats.tokens import Token, TokenError, opened
+from ponddoor.seats.tokens import Token, TokenError, decode_token
 from ponddoor.web.server import HttpError, Reply, Request, decoded
 from ponddoor.web.timing import within
 
@@ -304,9 +304,9 @@
 
     def _verified_token(self, text: str) -> Token:
         try:
-            token = opened(text, self._seating().key)
+            token = decode_token(text, self._seating().key)
         except TokenError as error:
-            raise HttpError(403, error.why, "the token is not to be trusted") from None
+            raise HttpError(403, error.code, "the token is not to be trusted") from None
         if token.front != self._seating().me:
             fronts = self.terms.site.fronts
             address = fronts[token.front].viewers if token.front < len(fronts) else None
--- a/ponddoor/seats/tokens.py
+++ b/ponddoor/seats/tokens.py
@@ -11,11 +11,11 @@
 
 
 class TokenError(Exception):
-    """A token that is not to be trusted; `why` is a word of the protocol."""
+    """A token that is not to be trusted; `code` is a word of the protocol."""
 
-    def __init__(self, why: str) -> None:
-        super().__init__(why)
-        self.why = why
+    def __init__(self, code: str) -> None:
+        super().__init__(code)
+        self.code = code
 
 
 @dataclass(frozen=True, slots=True)
@@ -32,7 +32,7 @@
     expires: int
 
 
-def made(token: Token, key: bytes) -> str:
+def encode_token(token: Token, key: bytes) -> str:
     """The signed text of a token."""
     claims = {
         "iss": ISSUER,
@@ -48,7 +48,7 @@
     return jwt.encode(claims, key, ALGORITHM)
 
 
-def opened(text: str, key: bytes) -> Token:
+def decode_token(text: str, key: bytes) -> Token:
     """What a token says, if its signature holds. An expired one is opened as well: the seat's front answers
     it.
 
--- a/tests/front/test_seating.py
+++ b/tests/front/test_seating.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from ponddoor.seats.core import Refused
-from ponddoor.seats.tokens import Token, made
+from ponddoor.seats.tokens import Token, encode_token
 from ponddoor.standins.media import Fault
 from ponddoor.web.client import Answer
 from ponddoor.web.timing import within
@@ -98,7 +98,7 @@
         assert (await renew(newest, "thief")).status == 403
         assert (await renew(str(newest)[:-2])).status == 403
         forged = Token("", "film", "a", "s", "x", 1, 0, 0)
-        assert (await renew(made(forged, bytes(32)))).json()["error"] == "forged-token"
+        assert (await renew(encode_token(forged, bytes(32)))).json()["error"] == "forged-token"
         redirect = await renew(newest, me=1)
         assert redirect.status == 307 and str(world.front_ports[0]) in redirect.headers["location"]
 
