--- a/ponddoor/front/seating.py
+++ b/ponddoor/front/seating.py
@@ -11,7 +11,7 @@
 from ponddoor.front.words import wall_clock_us
 from ponddoor.seats.core import Effect, Expired, Granted, Key, Message, Refused, Seats, Send, Timing, Write
 from ponddoor.seats.tokens import Token, encode_token
-from ponddoor.seats.wire import pack, unpack
+from ponddoor.seats.wire import decode_message, encode_message
 from ponddoor.store.committer import Committer
 from ponddoor.store.files import Disk
 from ponddoor.store.journal import Journal
@@ -122,7 +122,7 @@
 
     def handle_payload(self, peer: int, payload: bytes) -> bool:
         """Handles a payload from another front. Returns False if it is not a message about seats."""
-        message = unpack(payload)
+        message = decode_message(payload)
         if message is None:
             return False
         if not self._failed:
@@ -197,7 +197,7 @@
 
     def _send_message(self, peer: int, message: Message) -> None:
         try:
-            self.send(peer, pack(message))
+            self.send(peer, encode_message(message))
         except OSError:
             self.lost_messages += 1
 
--- a/ponddoor/seats/wire.py
+++ b/ponddoor/seats/wire.py
@@ -9,13 +9,13 @@
 _KINDS: tuple[type[Ask] | type[Lend] | type[Recall], ...] = (Ask, Lend, Recall)
 
 
-def pack(message: Message) -> bytes:
+def encode_message(message: Message) -> bytes:
     """The bytes of a message."""
     row = [getattr(message, name) for name in message.__slots__]
     return bytes([MARK, _KINDS.index(type(message))]) + msgspec.msgpack.encode(row)
 
 
-def unpack(payload: bytes) -> Message | None:
+def decode_message(payload: bytes) -> Message | None:
     """What bytes say; None where they are no message about seats."""
     if len(payload) < 2 or payload[0] != MARK or payload[1] >= len(_KINDS):
         return None
