--- a/ponddoor/cli.py
+++ b/ponddoor/cli.py
@@ -637,13 +637,13 @@
     """Play schedules of the count from their seeds; exit 1 and the seed where one fails."""
     from ponddoor.seats.core import Seats
     from ponddoor.seats.mutants import MUTANTS
-    from ponddoor.seats.simulation import drawn, explore
+    from ponddoor.seats.simulation import random_schedule, run_schedules
 
     if without is not None and without not in MUTANTS:
         click.echo(f"one of: {', '.join(MUTANTS)}", err=True)
         sys.exit(2)
-    make, shape = MUTANTS[without] if without is not None else (Seats, drawn)
-    ran, problem = explore(first, count, make, shape)
+    make, shape = MUTANTS[without] if without is not None else (Seats, random_schedule)
+    ran, problem = run_schedules(first, count, make, shape)
     click.echo(f"{ran} schedules; {problem or 'the limit held, every seat came back'}")
     sys.exit(1 if problem else 0)
 
@@ -655,11 +655,11 @@
 def measure(count: int, records: int, as_json: bool) -> None:
     """Grants with and without a sync, recovery, and messages as fronts grow (virtual time)."""
     from ponddoor.load.measure import shown
-    from ponddoor.seats.measure import grants, recovery, shifting
+    from ponddoor.seats.measure import measure_grants, measure_recovery, measure_shifting_load
 
-    result: dict[str, Any] = {"grants": grants(count), "recovery": recovery(records)}
+    result: dict[str, Any] = {"grants": measure_grants(count), "recovery": measure_recovery(records)}
     for fronts in (1, 3, 20, 50, 250):
-        result[f"{fronts} fronts"] = shifting(fronts, 200, 60, 40)
+        result[f"{fronts} fronts"] = measure_shifting_load(fronts, 200, 60, 40)
     click.echo(shown(result, as_json))
 
 
--- a/ponddoor/seats/measure.py
+++ b/ponddoor/seats/measure.py
@@ -57,7 +57,7 @@
     return rate, sorted(times)
 
 
-def grants(count: int, rounds: int = 3) -> dict[str, Any]:
+def measure_grants(count: int, rounds: int = 3) -> dict[str, Any]:
     """With and without a sync, in turn, in one run."""
     rates: dict[str, list[float]] = {"synced": [], "memory": []}
     waits: dict[str, list[float]] = {"synced": [], "memory": []}
@@ -78,7 +78,7 @@
     return out
 
 
-def recovery(records: int) -> dict[str, float]:
+def measure_recovery(records: int) -> dict[str, float]:
     """Seconds to open a journal of so many records and to have the seats of it back."""
     with tempfile.TemporaryDirectory() as folder:
         journal = Journal(Disk(Path(folder)))
@@ -144,7 +144,9 @@
         self.now = end
 
 
-def shifting(fronts: int, limit: int, seconds: int, rate: float, seed: int = 1) -> dict[str, float]:
+def measure_shifting_load(
+    fronts: int, limit: int, seconds: int, rate: float, seed: int = 1
+) -> dict[str, float]:
     """A load that moves over the fronts: messages a grant, time to grant, and valid viewers refused while a
     seat was free, which one central counter that never fails would not refuse."""
     fleet, rng = Fleet(fronts, limit, seed), Random(seed)
--- a/ponddoor/seats/mutants.py
+++ b/ponddoor/seats/mutants.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from ponddoor.seats.core import Ask, Effect, Key, Seats, Timing
-from ponddoor.seats.simulation import Schedule, drawn
+from ponddoor.seats.simulation import Schedule, random_schedule
 
 
 class NoFence(Seats):
@@ -52,7 +52,7 @@
 
 def drifting(seed: int) -> Schedule:
     """Clocks that drift far, and fronts cut off for longer than a lease: where the margin matters."""
-    plan = drawn(seed)
+    plan = random_schedule(seed)
     timing = replace(plan.timing, drift=0.05, least_life=1000)
     return replace(
         plan,
@@ -71,7 +71,7 @@
 
 def restarting(seed: int) -> Schedule:
     """Homes that restart often and at once, and words that arrive long after they were sent."""
-    plan = drawn(seed)
+    plan = random_schedule(seed)
     return replace(
         plan, timing=replace(plan.timing, idle=200_000), limit=4, seconds=40, loss=0.0, slow=0.3, double=0.5,
         crashes=60, disk_losses=0.0, viewers=24, fronts=3, down=200_000,
@@ -81,6 +81,6 @@
 MUTANTS: dict[str, tuple[type[Seats], Any]] = {
     "the fencing number": (NoFence, restarting),
     "the drift margin": (NoDriftMargin, drifting),
-    "durable before granted": (NotDurable, drawn),
-    "the generation check": (NoGeneration, drawn),
+    "durable before granted": (NotDurable, random_schedule),
+    "the generation check": (NoGeneration, random_schedule),
 }
--- a/ponddoor/seats/simulation.py
+++ b/ponddoor/seats/simulation.py
@@ -347,7 +347,7 @@
         self._carry_out(node, effects)
 
 
-def drawn(seed: int) -> Schedule:
+def random_schedule(seed: int) -> Schedule:
     """A schedule of any shape."""
     rng = Random(seed * 7919 + 1)
     return Schedule(
@@ -366,8 +366,11 @@
     )
 
 
-def explore(
-    first: int, count: int, make: Callable[..., Seats] = Seats, shape: Callable[[int], Schedule] = drawn
+def run_schedules(
+    first: int,
+    count: int,
+    make: Callable[..., Seats] = Seats,
+    shape: Callable[[int], Schedule] = random_schedule,
 ) -> tuple[int, str]:
     """Run schedules one after the other until one fails; returns how many ran and what failed."""
     return find_failing_seed(first, count, lambda seed: Simulation(shape(seed), make).run(), ExceededError)
--- a/tests/seats/test_seats.py
+++ b/tests/seats/test_seats.py
@@ -23,7 +23,7 @@
 )
 from ponddoor.seats.explore import explore_all
 from ponddoor.seats.mutants import MUTANTS, NotDurable
-from ponddoor.seats.simulation import ExceededError, Simulation, drawn, explore
+from ponddoor.seats.simulation import ExceededError, Simulation, random_schedule, run_schedules
 
 KEY: Key = ("t", "e")
 TIMING = Timing(token=2_000_000, lease=6_000_000)
@@ -248,19 +248,19 @@
 
 
 def test_a_simulated_schedule_is_the_same_again() -> None:
-    first, second = (Simulation(drawn(17)).run() for _ in range(2))
+    first, second = (Simulation(random_schedule(17)).run() for _ in range(2))
     assert first == second and first.granted > 10
 
 
 @pytest.mark.parametrize("first", range(0, 300, 50))
 def test_no_simulated_schedule_exceeds_the_limit_and_all_seats_come_back(first: int) -> None:
-    assert explore(first, 50) == (50, "")
+    assert run_schedules(first, 50) == (50, "")
 
 
 @pytest.mark.parametrize("name", MUTANTS)
 def test_the_simulation_finds_each_guard_that_is_taken_out(name: str) -> None:
     make, shape = MUTANTS[name]
-    ran, problem = explore(0, 600, make, shape)
+    ran, problem = run_schedules(0, 600, make, shape)
     assert problem, f"not found in {ran} schedules"
     seed = int(problem.split()[1].rstrip(":"))
     with pytest.raises(ExceededError, match=f"seed {seed}:"):
