--- a/ponddoor/front/process.py
+++ b/ponddoor/front/process.py
@@ -170,7 +170,7 @@
     def _make_seating(self, kept: Path | None) -> Seating:
         terms = self.site.seats
         timing = Timing(
-            terms.token, terms.lease, terms.drift, borrow_wait=terms.borrow_wait, come_back=terms.come_back
+            terms.token, terms.lease, terms.drift, max_wait=terms.borrow_wait, retry_after=terms.come_back
         )
         folder = (kept or Path(f"front-{self.me}")).with_suffix(".seats")
         return Seating(
@@ -583,10 +583,16 @@
     def _seat_samples(self, core: Seats) -> Iterator[Sample]:
         held = sum(len(share.seats) for share in core.shares.values())
         yield "gauge", "seats_held", "Seats granted by this front that run.", "", {"": held}
-        lent = sum(loan.count for book in core.books.values() for loan in book.lent.values())
+        lent = sum(loan.count for table in core.lease_tables.values() for loan in table.leases.values())
         yield "gauge", "seats_lent", "Seats this home has lent, to itself as well.", "", {"": lent}
-        yield "counter", "seats_refused", "Seats refused, by reason.", "why", _floats(core.refused)
-        yield "counter", "seat_messages", "Messages to other fronts about seats.", "", {"": core.messages}
+        yield "counter", "seats_refused", "Seats refused, by reason.", "why", _floats(core.refusals)
+        yield (
+            "counter",
+            "seat_messages",
+            "Messages to other fronts about seats.",
+            "",
+            {"": core.sent_messages},
+        )
 
 
 def _floats(counts: dict[str, int]) -> dict[str, float]:
--- a/ponddoor/front/seating.py
+++ b/ponddoor/front/seating.py
@@ -77,10 +77,10 @@
         kept_seats = [seat for share in self.core.shares.values() for seat in share.seats]
         self.record_event("seats-kept", front=self.me, seats=kept_seats)
         self._committer = Committer(self._journal, self._on_durable, self._fail)
-        self._apply_effects(self.core.begin(now))
+        self._apply_effects(self.core.start(now))
         self._tick_task = asyncio.create_task(self._tick())
-        if self.core.silent_until > now:
-            log.warning("no-journal", wait_ms=(self.core.silent_until - now) // 1000)
+        if self.core.no_leases_until > now:
+            log.warning("no-journal", wait_ms=(self.core.no_leases_until - now) // 1000)
 
     async def take(self, key: Key, viewer: str, sess: str) -> Granted | Refused:
         """Takes a seat for a session, or returns the refusal."""
@@ -126,7 +126,7 @@
         if message is None:
             return False
         if not self._failed:
-            self._apply_effects(self.core.heard(self.clock(), peer, message))
+            self._apply_effects(self.core.receive(self.clock(), peer, message))
         return True
 
     def set_limits(self, limits: dict[Key, int]) -> None:
@@ -136,8 +136,8 @@
     def entitlement_rows(self) -> list[dict[str, Any]]:
         """The state of each entitlement at this front, for GET /seats."""
         now, rows = self.clock(), []
-        for key in sorted(set(self.core.limits) | set(self.core.shares) | set(self.core.books)):
-            share, book = self.core.shares.get(key), self.core.books.get(key)
+        for key in sorted(set(self.core.limits) | set(self.core.shares) | set(self.core.lease_tables)):
+            share, table = self.core.shares.get(key), self.core.lease_tables.get(key)
             rows.append(
                 {
                     "tenant": key[0],
@@ -145,9 +145,9 @@
                     "limit": self.core.limits.get(key, 0),
                     "held": len(share.seats) if share else 0,
                     "share": share.count if share else 0,
-                    "share_ends_in_ms": max(0, share.until - now) // 1000 if share else 0,
+                    "share_ends_in_ms": max(0, share.expires - now) // 1000 if share else 0,
                     "waiting": len(share.waiting) if share else 0,
-                    "lent": {str(peer): lent.count for peer, lent in book.lent.items()} if book else {},
+                    "lent": {str(peer): lent.count for peer, lent in table.leases.items()} if table else {},
                 }
             )
         return rows
@@ -202,7 +202,7 @@
             self.lost_messages += 1
 
     def _on_durable(self, number: int) -> None:
-        self._apply_effects(self.core.durable(self.clock(), number - self._records_at_start))
+        self._apply_effects(self.core.on_durable(self.clock(), number - self._records_at_start))
         if (
             self._records_since_snapshot >= SNAPSHOT_AFTER_RECORDS
             and self._journal.durable == self._journal.next_number - 1
--- a/ponddoor/front/viewers.py
+++ b/ponddoor/front/viewers.py
@@ -201,7 +201,7 @@
             seat_result = await self._take_seat(body, sess)
             if isinstance(seat_result, Refused):
                 return self._reply(
-                    "", Answer("busy", come_back=seat_result.come_back, reason=seat_result.why)
+                    "", Answer("busy", come_back=seat_result.retry_after, reason=seat_result.reason)
                 )
             granted = seat_result
             if self.terms is not terms:
@@ -323,10 +323,10 @@
             "expired": 410,
             "superseded": 409,
             "never-given": 409,
-        }.get(result.why, 503)
-        seconds = max(1, math.ceil(result.come_back / SECOND))
+        }.get(result.reason, 503)
+        seconds = max(1, math.ceil(result.retry_after / SECOND))
         headers = (("Retry-After", str(seconds)),) if status == 503 else ()
-        return HttpError(status, result.why, "no seat", headers)
+        return HttpError(status, result.reason, "no seat", headers)
 
     async def _renew(self, body: SeatAsk) -> Reply:
         result = await self._seating().renew(self._verified_token(body.token), body.viewer)
--- a/ponddoor/seats/core.py
+++ b/ponddoor/seats/core.py
@@ -29,11 +29,11 @@
     lease: int = 30_000_000
     drift: float = 0.01
     retry: int = 100_000
-    borrow_wait: int = 500_000
+    max_wait: int = 500_000
     least_life: int = 1_000_000
     idle: int = 3_000_000
     waiting: int = 10_000
-    come_back: int = 1_000_000
+    retry_after: int = 1_000_000
 
     def at_home(self) -> int:
         """How long a home takes a share to run: longer than any drift makes it at the borrower."""
@@ -94,7 +94,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Write:
-    """A record to make durable; `durable` is to be told its number, which counts from 1 without a gap."""
+    """A record to make durable; `on_durable` is told its number, which counts from 1 without a gap."""
 
     number: int
     record: list[Any]
@@ -115,11 +115,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Refused:
-    """The answer to a ticket: no seat; `why` is a word of the protocol, `come_back` is in microseconds."""
+    """The answer to a ticket: no seat. `reason` is a code of the protocol, `retry_after` in microseconds."""
 
     ticket: int
-    why: str
-    come_back: int = 0
+    reason: str
+    retry_after: int = 0
 
 
 @dataclass(frozen=True, slots=True)
@@ -154,7 +154,7 @@
     """What this front may grant of one entitlement, and its questions to the home."""
 
     count: int = 0
-    until: int = 0
+    expires: int = 0
     number: int = 0
     lowered: int = 0
     accepted: int = 0
@@ -197,10 +197,10 @@
 
 
 @dataclass(slots=True)
-class Book:
+class LeaseTable:
     """What the home keeps of one entitlement."""
 
-    lent: dict[int, Lent] = field(default_factory=dict)
+    leases: dict[int, Lent] = field(default_factory=dict)
     recalled_at: int = -(1 << 60)
 
 
@@ -219,12 +219,14 @@
         self.me, self.fronts, self.limits, self.timing = me, fronts, dict(limits), timing
         self.epoch = epoch
         self.shares: dict[Key, Share] = {}
-        self.books: dict[Key, Book] = {}
-        self.silent_until = now + timing.at_home()  # without a journal: all that may run from before lapses
+        self.lease_tables: dict[Key, LeaseTable] = {}
+        self.no_leases_until = (
+            now + timing.at_home()
+        )  # without a journal: all that may run from before lapses
         self.written = self.durable_to = 0
         self.made = 0
-        self.refused: dict[str, int] = {}
-        self.messages = 0
+        self.refusals: dict[str, int] = {}
+        self.sent_messages = 0
         self._held_back: deque[tuple[int, Effect]] = deque()
 
     # Recovery
@@ -233,7 +235,7 @@
         """Take back what was durable. Grants that run are honoured; what was lent is taken to run anew."""
         if state is None and not records:
             return
-        self.silent_until = now
+        self.no_leases_until = now
         for record in [*(state or []), *records]:
             self._apply(now, record)
         for share in self.shares.values():
@@ -241,8 +243,8 @@
                 seat.expires = min(seat.expires, now + self.timing.token)
                 heapq.heappush(share.ends, (seat.expires, seat.seat))
             self._expire(now, share)
-        for book in self.books.values():
-            for lent in book.lent.values():
+        for table in self.lease_tables.values():
+            for lent in table.leases.values():
                 lent.until = now + self.timing.at_home()
 
     def _apply(self, now: int, record: list[Any]) -> None:
@@ -252,9 +254,9 @@
             case ["back", seat, tenant, name]:
                 self._drop(self.share((tenant, name)), seat)
             case ["lent", tenant, name, peer, 0]:
-                self.book((tenant, name)).lent.pop(peer, None)
+                self.lease_table((tenant, name)).leases.pop(peer, None)
             case ["lent", tenant, name, peer, count]:
-                self.book((tenant, name)).lent[peer] = Lent(count, now)
+                self.lease_table((tenant, name)).leases[peer] = Lent(count, now)
             case _:
                 return  # begun, or a kind of a newer version that says nothing here
 
@@ -263,15 +265,15 @@
         seats = [_seat_record(seat) for share in self.shares.values() for seat in share.seats.values()]
         lent = [
             ["lent", *key, peer, lent.count]
-            for key, book in self.books.items()
-            for peer, lent in book.lent.items()
+            for key, table in self.lease_tables.items()
+            for peer, lent in table.leases.items()
             if lent.count
         ]
         return [["begun", self.epoch], *seats, *lent]
 
     # What is asked of this front
 
-    def begin(self, now: int) -> list[Effect]:
+    def start(self, now: int) -> list[Effect]:
         """The first record of a life, so that the next knows there was one."""
         return [self._write(["begun", self.epoch])]
 
@@ -281,7 +283,7 @@
             return [self._refuse(ticket, "no-such-entitlement")]
         share = self.share(key)
         out = self._expire(now, share)
-        return out + self._wait(now, key, Waiting(ticket, now + self.timing.borrow_wait, viewer, sess))
+        return out + self._wait(now, key, Waiting(ticket, now + self.timing.max_wait, viewer, sess))
 
     def renew(self, now: int, ticket: int, key: Key, seat: str, viewer: str, generation: int) -> list[Effect]:
         """A viewer shows a seat's generation. The newest is extended under the next one; the one before it, a
@@ -296,10 +298,10 @@
         if generation == held.generation - 1:
             return out + self._after(held.written, self._granted(ticket, held), now)
         if generation != held.generation:
-            why = "superseded" if generation < held.generation else "never-given"
-            return [*out, self._refuse(ticket, why)]
+            reason = "superseded" if generation < held.generation else "never-given"
+            return [*out, self._refuse(ticket, reason)]
         waiting = Waiting(
-            ticket, min(now + self.timing.borrow_wait, held.expires), viewer, held.sess, seat, generation
+            ticket, min(now + self.timing.max_wait, held.expires), viewer, held.sess, seat, generation
         )
         return out + self._wait(now, key, waiting)
 
@@ -317,13 +319,13 @@
         """Limits change in service. Nobody is cut; none is granted or lent until it fits."""
         self.limits = dict(limits)
         out: list[Effect] = []
-        for key, book in self.books.items():
-            out += self._lapse(now, key, book)
-            if self._lent(book) > self.limits.get(key, 0):
-                out += self._recall(now, key, book)
+        for key, table in self.lease_tables.items():
+            out += self._lapse(now, key, table)
+            if self._lent(table) > self.limits.get(key, 0):
+                out += self._recall(now, key, table)
         return out
 
-    def durable(self, now: int, number: int) -> list[Effect]:
+    def on_durable(self, now: int, number: int) -> list[Effect]:
         """All writes up to a number are durable: what waited for them goes out."""
         self.durable_to = max(self.durable_to, number)
         out: list[Effect] = []
@@ -331,7 +333,7 @@
             out += self._pass(now, self._held_back.popleft()[1])
         return out
 
-    def heard(self, now: int, peer: int, message: Message) -> list[Effect]:
+    def receive(self, now: int, peer: int, message: Message) -> list[Effect]:
         """A message from another front."""
         match message:
             case Ask():
@@ -353,7 +355,7 @@
             out += self._expire(now, share)
             while share.waiting and share.waiting[0].until <= now:
                 waiting = share.waiting.popleft()
-                out.append(self._refuse(waiting.ticket, "no-seat", self.timing.come_back))
+                out.append(self._refuse(waiting.ticket, "no-seat", self.timing.retry_after))
             out += self._tend(now, key, share)
         return out
 
@@ -375,7 +377,7 @@
         return seat
 
     def _held(self, now: int, share: Share) -> int:
-        return share.count if share.until > now else 0
+        return share.count if share.expires > now else 0
 
     def _expire(self, now: int, share: Share) -> list[Effect]:
         out: list[Effect] = []
@@ -390,7 +392,7 @@
     def _wait(self, now: int, key: Key, waiting: Waiting) -> list[Effect]:
         share = self.share(key)
         if len(share.waiting) >= self.timing.waiting:
-            return [self._refuse(waiting.ticket, "too-many-waiting", self.timing.come_back)]
+            return [self._refuse(waiting.ticket, "too-many-waiting", self.timing.retry_after)]
         share.waiting.append(waiting)
         out = self._serve(now, key)
         return out + self._tend(now, key, share)
@@ -400,7 +402,7 @@
         share, timing, out = self.share(key), self.timing, list[Effect]()
         while share.waiting:
             waiting = share.waiting[0]
-            life = min(now + timing.token, share.until) - now
+            life = min(now + timing.token, share.expires) - now
             if self._held(now, share) == 0 or life < min(timing.least_life, timing.token // 2):
                 return out
             if waiting.renews:
@@ -446,7 +448,7 @@
         unanswered = share.accepted < share.number and now - share.asked_at < self.timing.retry
         if need > held or share.waiting:
             return out if unanswered else out + self._ask(now, key, need + spare)
-        if (need or held) and share.until - now < 2 * self.timing.at_borrower() // 3:
+        if (need or held) and share.expires - now < 2 * self.timing.at_borrower() // 3:
             pause = self.timing.lease // 12
             return out + self._ask(now, key, max(held, need)) if now - share.asked_at >= pause else out
         if held > need + 2 * spare + (not scarce):
@@ -464,13 +466,13 @@
         renewals = deque(waiting for waiting in share.waiting if waiting.renews)
         for waiting in share.waiting:
             if not waiting.renews:
-                out.append(self._refuse(waiting.ticket, "no-seat", self.timing.come_back))
+                out.append(self._refuse(waiting.ticket, "no-seat", self.timing.retry_after))
         share.waiting = renewals
         return out
 
     def _ask(self, now: int, key: Key, want: int) -> list[Effect]:
         """A question to the home. One for less than we hold lowers our share before it goes out."""
-        if now < self.silent_until:
+        if now < self.no_leases_until:
             return []
         share = self.share(key)
         share.number += 1
@@ -506,7 +508,7 @@
             used = len(share.seats)
             return self._ask(now, lend.key, max(used + len(share.waiting) + 1, self._held(now, share)))
         sent, _ = share.sent[lend.number]
-        share.until = max(share.until, sent + self.timing.at_borrower())
+        share.expires = max(share.expires, sent + self.timing.at_borrower())
         share.count = lend.count
         out = self._serve(now, lend.key)
         if (
@@ -518,32 +520,32 @@
 
     # The home
 
-    def book(self, key: Key) -> Book:
-        return self.books.setdefault(key, Book())
+    def lease_table(self, key: Key) -> LeaseTable:
+        return self.lease_tables.setdefault(key, LeaseTable())
 
-    def _lent(self, book: Book) -> int:
-        return sum(lent.count for lent in book.lent.values())
+    def _lent(self, table: LeaseTable) -> int:
+        return sum(lent.count for lent in table.leases.values())
 
-    def _lapse(self, now: int, key: Key, book: Book) -> list[Effect]:
+    def _lapse(self, now: int, key: Key, table: LeaseTable) -> list[Effect]:
         """Guards against a share that lapsed and was lent elsewhere, and runs anew after our restart: that it
         lapsed stands in the journal before whatever is lent from it."""
-        gone = [peer for peer, lent in book.lent.items() if lent.until <= now]
+        gone = [peer for peer, lent in table.leases.items() if lent.until <= now]
         for peer in gone:
-            del book.lent[peer]
+            del table.leases[peer]
         return [self._write(["lent", *key, peer, 0]) for peer in gone]
 
     def _asked(self, now: int, peer: int, ask: Ask) -> list[Effect]:
         """A front's question. What is lent is never lowered but by its borrower's own word."""
         key = ask.key
-        if home_of(key, self.fronts) != self.me or now < self.silent_until or key not in self.limits:
+        if home_of(key, self.fronts) != self.me or now < self.no_leases_until or key not in self.limits:
             return []
         if ask.fence != self.epoch:
             # Guards against a word for less from before our restart, overtaken since by one for more.
             return self._to(now, peer, Lend(key, ask.epoch, ask.number, self.epoch, -1))
-        book = self.book(key)
-        out = self._lapse(now, key, book)
-        in_all = self._lent(book)
-        lent = book.lent.get(peer) or Lent(0, now)
+        table = self.lease_table(key)
+        out = self._lapse(now, key, table)
+        in_all = self._lent(table)
+        lent = table.leases.get(peer) or Lent(0, now)
         if (ask.epoch, ask.number) < (lent.epoch, lent.number):
             return out
         free = max(0, self.limits[key] - in_all)
@@ -551,9 +553,9 @@
         before, lent.count = lent.count, count
         lent.epoch, lent.number, lent.used = ask.epoch, ask.number, ask.used
         lent.until = now + self.timing.at_home()
-        book.lent[peer] = lent
+        table.leases[peer] = lent
         # What others hold in reserve is called back, and who asks waits for it; else it is turned away.
-        reserve = any(one.count > one.used for other, one in book.lent.items() if other != peer)
+        reserve = any(one.count > one.used for other, one in table.leases.items() if other != peer)
         short = count < ask.want and ask.want > before and not reserve
         answer = Lend(key, ask.epoch, ask.number, self.epoch, count, short)
         if count != before:
@@ -563,14 +565,14 @@
         # Guards against a question that comes twice: its second answer waits for the record like the first.
         out += self._after(lent.written, Send(peer, answer), now)
         if count < ask.want or in_all > self.limits[key]:
-            out += self._recall(now, key, book)
+            out += self._recall(now, key, table)
         return out
 
-    def _recall(self, now: int, key: Key, book: Book) -> list[Effect]:
-        if now - book.recalled_at < self.timing.retry:
+    def _recall(self, now: int, key: Key, table: LeaseTable) -> list[Effect]:
+        if now - table.recalled_at < self.timing.retry:
             return []
-        book.recalled_at = now
-        idle = [peer for peer, lent in book.lent.items() if lent.count > lent.used]
+        table.recalled_at = now
+        idle = [peer for peer, lent in table.leases.items() if lent.count > lent.used]
         return [effect for peer in idle for effect in self._to(now, peer, Recall(key, self.epoch))]
 
     # Writes, and what waits for them
@@ -598,16 +600,16 @@
 
     def _to(self, now: int, peer: int, message: Message) -> list[Effect]:
         if peer == self.me:
-            return self.heard(now, self.me, message)
-        self.messages += 1
+            return self.receive(now, self.me, message)
+        self.sent_messages += 1
         return [Send(peer, message)]
 
     def _granted(self, ticket: int, held: Seat) -> Granted:
         return Granted(ticket, held.seat, held.key, held.viewer, held.sess, held.generation, held.expires)
 
-    def _refuse(self, ticket: int, why: str, come_back: int = 0) -> Refused:
-        self.refused[why] = self.refused.get(why, 0) + 1
-        return Refused(ticket, why, come_back)
+    def _refuse(self, ticket: int, reason: str, retry_after: int = 0) -> Refused:
+        self.refusals[reason] = self.refusals.get(reason, 0) + 1
+        return Refused(ticket, reason, retry_after)
 
 
 def _seat_record(seat: Seat) -> list[Any]:
--- a/ponddoor/seats/explore.py
+++ b/ponddoor/seats/explore.py
@@ -52,8 +52,10 @@
 
 def _lent(core: Seats) -> list[Any]:
     return [
-        sorted((peer, lent.count, lent.epoch, lent.number, lent.written) for peer, lent in book.lent.items())
-        for book in core.books.values()
+        sorted(
+            (peer, lent.count, lent.epoch, lent.number, lent.written) for peer, lent in table.leases.items()
+        )
+        for table in core.lease_tables.values()
     ]
 
 
@@ -62,9 +64,9 @@
     state = State([], [[], []], [[], []], [0, 0])
     for me in range(2):
         core = make(me, 2, {KEY: limit}, TIMING, 1, NOW)
-        core.silent_until = NOW
+        core.no_leases_until = NOW
         state.cores.append(core)
-        carry_out(state, me, core.begin(NOW))
+        carry_out(state, me, core.start(NOW))
         commit(state, me)
     return state
 
@@ -83,7 +85,7 @@
     state.journals[me] += state.pending[me]
     state.numbers[me] += len(state.pending[me])
     state.pending[me] = []
-    carry_out(state, me, state.cores[me].durable(NOW, state.numbers[me]))
+    carry_out(state, me, state.cores[me].on_durable(NOW, state.numbers[me]))
 
 
 def steps(state: State, make: type[Seats], limit: int) -> list[State]:
@@ -100,7 +102,7 @@
             continue
         arrived = fork()
         del arrived.flying[at]
-        carry_out(arrived, peer, arrived.cores[peer].heard(NOW, sender, message))
+        carry_out(arrived, peer, arrived.cores[peer].receive(NOW, sender, message))
         if state.losses:
             lost = fork()
             del lost.flying[at]
@@ -115,7 +117,7 @@
             core = make(me, 2, {KEY: limit}, TIMING, state.cores[me].epoch + 1, NOW)
             core.recover(NOW, None, copy.deepcopy(crashed.journals[me]))
             crashed.cores[me], crashed.numbers[me] = core, 0
-            carry_out(crashed, me, core.begin(NOW))
+            carry_out(crashed, me, core.start(NOW))
     for viewer in state.to_ask:
         asked = fork()
         asked.to_ask = tuple(v for v in state.to_ask if v != viewer)
--- a/ponddoor/seats/measure.py
+++ b/ponddoor/seats/measure.py
@@ -39,7 +39,7 @@
     seating.start()
     if not synced:
         seating._journal.files = _Memory(folder)
-    seating.core.silent_until = 0
+    seating.core.no_leases_until = 0
     numbers, times = iter(range(count)), list[float]()
 
     async def viewer() -> None:
@@ -48,7 +48,7 @@
             got = await seating.take(KEY, f"v{number}", "s")
             times.append((time.perf_counter() - begun) * 1000)
             if isinstance(got, Refused):
-                raise RuntimeError(got.why)
+                raise RuntimeError(got.reason)
 
     begun = time.perf_counter()
     await asyncio.gather(*(viewer() for _ in range(in_hand)))
@@ -116,8 +116,8 @@
         self.answers: dict[int, tuple[int, Granted | Refused]] = {}
         self.messages = 0
         for me, core in enumerate(self.cores):
-            core.silent_until = 0
-            self.run(me, core.begin(self.now))
+            core.no_leases_until = 0
+            self.run(me, core.start(self.now))
 
     def at(self, moment: int, what: Any) -> None:
         self.order += 1
@@ -128,12 +128,14 @@
             match effect:
                 case Write(number):
                     self.at(
-                        self.now + 2000, lambda n=number: self.run(me, self.cores[me].durable(self.now, n))
+                        self.now + 2000, lambda n=number: self.run(me, self.cores[me].on_durable(self.now, n))
                     )
                 case Send(peer, message):
                     self.messages += 1
                     late = self.now + self.rng.randint(1000, 20_000)
-                    self.at(late, lambda p=peer, m=message: self.run(p, self.cores[p].heard(self.now, me, m)))
+                    self.at(
+                        late, lambda p=peer, m=message: self.run(p, self.cores[p].receive(self.now, me, m))
+                    )
                 case Granted(ticket) | Refused(ticket):
                     self.answers[ticket] = (self.now, effect)
 
--- a/ponddoor/seats/simulation.py
+++ b/ponddoor/seats/simulation.py
@@ -52,7 +52,7 @@
     down: int = 6_000_000
     cuts: int = 0
     timing: Timing = Timing(
-        token=2_000_000, lease=5_000_000, retry=80_000, borrow_wait=400_000, least_life=200_000, idle=800_000
+        token=2_000_000, lease=5_000_000, retry=80_000, max_wait=400_000, least_life=200_000, idle=800_000
     )
 
 
@@ -170,7 +170,7 @@
         first = self.nodes[self.rng.randrange(len(self.nodes))]
         for number in range(self.limit):
             self._take(first, f"last{number}", lambda sess, seat: got.append(seat))
-        self.run_until(self.now + 4 * self.plan.timing.borrow_wait)
+        self.run_until(self.now + 4 * self.plan.timing.max_wait)
         if len(got) < self.limit:
             for number in range(self.limit):
                 self._take(first, f"last{number}", lambda sess, seat: got.append(seat))
@@ -197,7 +197,7 @@
         core.recover(now, held.state, held.records)
         node.core, node.journal, node.committing = core, journal, False
         node.last_record_at_start = journal.next_number - 1
-        self._carry_out(node, core.begin(now))
+        self._carry_out(node, core.start(now))
         start = node.starts
         self.schedule_after(0, TICK, lambda: self._tick(node, start))
 
@@ -259,7 +259,7 @@
 
     def on_durable(self, node: Node, number: int) -> None:
         assert node.core is not None
-        self._carry_out(node, node.core.durable(self.clock(node), number))
+        self._carry_out(node, node.core.on_durable(self.clock(node), number))
 
     def snapshot_state(self, node: Node) -> Any:
         assert node.core is not None
@@ -272,7 +272,7 @@
     def _arrive(self, sender: int, peer: int, message: Any) -> None:
         node = self.nodes[peer]
         if node.core is not None:
-            self._carry_out(node, node.core.heard(self.clock(node), sender, message))
+            self._carry_out(node, node.core.receive(self.clock(node), sender, message))
 
     # Viewers
 
--- a/tests/front/test_seating.py
+++ b/tests/front/test_seating.py
@@ -27,7 +27,7 @@
     A front without a journal otherwise grants none until all seats that it may have granted have expired."""
     for front in world.fronts:
         assert front.seating is not None
-        front.seating.core.silent_until = 0
+        front.seating.core.no_leases_until = 0
 
 
 async def request_with_seat(world: World, viewer: str, me: int = 0, **body: Any) -> Answer:
@@ -204,7 +204,7 @@
         await seating.close()
         [key] = seating.core.limits
         result = await within(5, seating.take(key, "a", "1"))
-        assert isinstance(result, Refused) and result.why == "front-stopped"
+        assert isinstance(result, Refused) and result.reason == "front-stopped"
 
     in_world(live, audited=False, kept=tmp_path / "k", seats=seats(1))
 
@@ -221,6 +221,6 @@
             await asyncio.sleep(0.001)
         [key] = seating.core.limits
         result = await within(5, seating.take(key, "a", "1"))
-        assert isinstance(result, Refused) and result.why == "faulted"
+        assert isinstance(result, Refused) and result.reason == "faulted"
 
     in_world(live, audited=False, kept=tmp_path / "k", seats=seats(1))
--- a/tests/seats/test_seats.py
+++ b/tests/seats/test_seats.py
@@ -37,7 +37,7 @@
         self.core = Seats(me, fronts, {KEY: limit}, TIMING, 7, 0)
         self.now, self.slow, self.seen = BEGIN, False, list[Effect]()
         self.records: list[Any] = []
-        self.run(self.core.begin(self.now))
+        self.run(self.core.start(self.now))
 
     def run(self, effects: list[Effect]) -> list[Effect]:
         """All effects, with those that wait for a write."""
@@ -47,7 +47,7 @@
             if isinstance(effect, Write):
                 self.records.append(effect.record)
                 if not self.slow:
-                    effects += self.core.durable(self.now, effect.number)
+                    effects += self.core.on_durable(self.now, effect.number)
             else:
                 seen.append(effect)
         self.seen += seen
@@ -68,7 +68,7 @@
 
 def refused(effects: list[Effect]) -> str:
     assert len(effects) == 1 and isinstance(effects[0], Refused), effects
-    return effects[0].why
+    return effects[0].reason
 
 
 def test_no_more_than_the_limit_and_asked_again_the_same() -> None:
@@ -116,7 +116,7 @@
     front.slow = True
     assert front.take("b") == [] == front.take("b")
     front.slow = False
-    assert {type(effect) for effect in front.run(front.core.durable(front.now, front.core.written))} == {
+    assert {type(effect) for effect in front.run(front.core.on_durable(front.now, front.core.written))} == {
         Granted
     }
 
@@ -128,7 +128,7 @@
     assert front.renew(first) == []
     front.run(front.core.give_back(front.now, KEY, first.seat, "a"))
     front.slow = False
-    assert refused(front.run(front.core.durable(front.now, front.core.written))) == "expired"
+    assert refused(front.run(front.core.on_durable(front.now, front.core.written))) == "expired"
 
 
 def test_a_limit_that_is_lowered_cuts_nobody_and_grants_none_until_it_fits() -> None:
@@ -150,7 +150,7 @@
 def test_a_front_without_its_disk_waits_until_all_it_gave_has_lapsed() -> None:
     front = Alone()
     front.core = Seats(0, 1, {KEY: 1}, TIMING, 8, front.now)
-    front.run(front.core.begin(front.now))
+    front.run(front.core.start(front.now))
     assert front.take("a") == []
     front.now += TIMING.at_home()
     front.run(front.core.tick(front.now))
@@ -162,7 +162,7 @@
     first = granted(front.take("a"))
     front.core = Seats(0, 1, {KEY: 1}, TIMING, 8, front.now)
     front.core.recover(front.now, None, front.records)
-    front.run(front.core.begin(front.now))
+    front.run(front.core.start(front.now))
     assert refused(front.take("b")) == "no-seat"
     front.now += 1_000_000
     assert granted(front.renew(first)).generation == 2
@@ -190,12 +190,12 @@
     assert isinstance(first, Ask) and first.want >= 1
     front.now += 200_000
     front.run(core.tick(front.now))
-    front.run(core.heard(front.now, home, lent(core, 2, 3)))
+    front.run(core.receive(front.now, home, lent(core, 2, 3)))
     assert core.share(KEY).count == 3
-    front.run(core.heard(front.now, home, lent(core, 1, 9)))  # older than the one that counted
-    front.run(core.heard(front.now, home, lent(core, 99, 9)))  # to a question that was never sent
-    front.run(core.heard(front.now, 1 - home, lent(core, 2, 9)))  # from who is not the home
-    front.run(core.heard(front.now, home, Lend(KEY, core.epoch - 1, 2, 5, 9)))  # for an earlier life
+    front.run(core.receive(front.now, home, lent(core, 1, 9)))  # older than the one that counted
+    front.run(core.receive(front.now, home, lent(core, 99, 9)))  # to a question that was never sent
+    front.run(core.receive(front.now, 1 - home, lent(core, 2, 9)))  # from who is not the home
+    front.run(core.receive(front.now, home, Lend(KEY, core.epoch - 1, 2, 5, 9)))  # for an earlier life
     assert core.share(KEY).count == 3
 
 
@@ -207,7 +207,7 @@
         front.take(viewer)
     front.now += 200_000
     front.run(core.tick(front.now))
-    front.now += TIMING.borrow_wait  # those three are turned away
+    front.now += TIMING.max_wait  # those three are turned away
     front.run(core.tick(front.now))
     front.take("d")
     front.now += 200_000
@@ -218,21 +218,21 @@
         if isinstance(effect, Send) and isinstance(effect.message, Ask)
     ]
     assert max(wants) > wants[-1]
-    front.run(core.heard(front.now, home, lent(core, 1 + wants.index(max(wants)), max(wants))))
+    front.run(core.receive(front.now, home, lent(core, 1 + wants.index(max(wants)), max(wants))))
     assert core.share(KEY).count == 0
-    front.run(core.heard(front.now, home, lent(core, len(wants), wants[-1])))
+    front.run(core.receive(front.now, home, lent(core, len(wants), wants[-1])))
     assert core.share(KEY).count == wants[-1]
 
 
 def test_a_home_ignores_words_from_before_its_restart() -> None:
     front = Alone(limit=9, fronts=2, me=home_of(KEY, 2))
     peer = 1 - front.core.me
-    got = front.run(front.core.heard(front.now, peer, Ask(KEY, 3, 4, 6, 5, 0)))
+    got = front.run(front.core.receive(front.now, peer, Ask(KEY, 3, 4, 6, 5, 0)))
     assert got == [Send(peer, Lend(KEY, 3, 4, 7, -1))]  # it tells its fence, and lends nothing
-    got = front.run(front.core.heard(front.now, peer, Ask(KEY, 3, 5, 7, 5, 0)))
+    got = front.run(front.core.receive(front.now, peer, Ask(KEY, 3, 5, 7, 5, 0)))
     assert got == [Send(peer, Lend(KEY, 3, 5, 7, 5))]
-    assert front.run(front.core.heard(front.now, peer, Ask(KEY, 3, 4, 7, 1, 0))) == []  # an older question
-    assert front.core.book(KEY).lent[peer].count == 5
+    assert front.run(front.core.receive(front.now, peer, Ask(KEY, 3, 4, 7, 1, 0))) == []  # an older question
+    assert front.core.lease_table(KEY).leases[peer].count == 5
 
 
 def test_a_question_that_comes_twice_is_answered_no_sooner() -> None:
@@ -240,11 +240,11 @@
     front.slow, peer = True, 1 - front.core.me
     ask = Ask(KEY, 3, 5, 7, 5, 0)
     assert (
-        front.run(front.core.heard(front.now, peer, ask))
+        front.run(front.core.receive(front.now, peer, ask))
         == []
-        == front.run(front.core.heard(front.now, peer, ask))
+        == front.run(front.core.receive(front.now, peer, ask))
     )
-    assert len(front.run(front.core.durable(front.now, front.core.written))) == 2
+    assert len(front.run(front.core.on_durable(front.now, front.core.written))) == 2
 
 
 def test_a_simulated_schedule_is_the_same_again() -> None:
@@ -287,7 +287,7 @@
         self.flying: list[tuple[int, Send]] = []
         self.running: dict[str, tuple[str, int]] = {}
         for me, core in enumerate(self.cores):
-            self.carry_out(me, core.begin(self.now))
+            self.carry_out(me, core.start(self.now))
             self.commit(me)
 
     def carry_out(self, me: int, effects: list[Effect]) -> None:
@@ -305,7 +305,7 @@
         self.durable[me] += self.pending[me]
         self.base[me] += len(self.pending[me])
         self.pending[me] = []
-        self.carry_out(me, self.cores[me].durable(self.now, self.base[me]))
+        self.carry_out(me, self.cores[me].on_durable(self.now, self.base[me]))
 
     @rule(me=st.integers(0, 1), viewer=st.integers(0, 4))
     def take(self, me: int, viewer: int) -> None:
@@ -319,7 +319,7 @@
             if not twice:
                 del self.flying[at % len(self.flying)]
             if not lost:
-                self.carry_out(sent.peer, self.cores[sent.peer].heard(self.now, sender, sent.message))
+                self.carry_out(sent.peer, self.cores[sent.peer].receive(self.now, sender, sent.message))
 
     @rule(at=st.integers(0, 20), renew=st.booleans())
     def go_on(self, at: int, renew: bool) -> None:
@@ -349,7 +349,7 @@
         core = Seats(me, 2, {KEY: 2}, TIMING, self.cores[me].epoch + 1, self.now)
         core.recover(self.now, None, self.durable[me])
         self.cores[me], self.base[me] = core, 0
-        self.carry_out(me, core.begin(self.now))
+        self.carry_out(me, core.start(self.now))
 
     @invariant()
     def the_limit_holds(self) -> None:
