--- a/ponddoor/seats/core.py
+++ b/ponddoor/seats/core.py
@@ -1,15 +1,16 @@
-"""The count of seats of one front, free of I/O: messages, clock and finished writes in; messages, writes and
-answers out. docs/notes/seats.md has the ways weighed, and why this is safe.
+"""Counts the seats of one front without I/O: takes messages, the time and finished writes, and returns
+messages, writes and replies. docs/notes/seats.md compares the alternatives and shows why this design is safe.
 
-Each entitlement has one home front. It lends the others shares, bounded in time; a front grants seats only
-from a share it holds, no longer than the share runs, and no seat before the record of it is durable. All
-times are whole microseconds of the front's own clock; clocks may drift by `drift` of their rate, nothing else
-is asked.
+Each entitlement has one home front, which leases shares of the limit to all fronts. A front grants seats only
+from a share that it holds, never beyond the end of the lease, and no seat before its record is durable. All
+times are whole microseconds of the front's own clock. Clocks may differ in rate by `drift_ratio`; nothing
+else is assumed of them.
 
-- `number` orders a front's questions to a home; an answer counts unless a later one came, or a question for
-  less went out after its own.
-- `fence` names one life of the home: questions that were written for an earlier life change nothing.
-- `epoch` names one life of the asking front, likewise."""
+- `number` orders a front's requests to a home. A response is accepted unless one to a later request has been
+  accepted, or a request for fewer seats was sent after its own request.
+- `epoch` identifies one run of the requesting front: a response to a request of an earlier run is ignored.
+- `home_epoch` identifies one run of the home and is the fencing token: a request that was made for an earlier
+  run changes nothing."""
 
 import heapq
 from collections import deque
@@ -23,65 +24,75 @@
 
 @dataclass(frozen=True, slots=True)
 class Timing:
-    """How long things run. `token` is a seat's life between renewals, `lease` a share's."""
+    """Durations in microseconds, and limits.
 
-    token: int = 10_000_000
+    `seat_lifetime` is how long a seat runs between renewals, `lease` how long a share runs. `drift_ratio` is
+    the most by which the rate of a clock is wrong. `retry_interval` is the time between requests to a home
+    that does not answer, and between recalls. A request waits up to `max_wait` for a share; `max_waiting`
+    requests of an entitlement may wait at once. No seat is granted for less than `min_seat_lifetime`, or half
+    of `seat_lifetime` if that is less. Surplus seats are returned to the home after `surplus_retention`. A
+    refused viewer may try again after `retry_after`."""
+
+    seat_lifetime: int = 10_000_000
     lease: int = 30_000_000
-    drift: float = 0.01
-    retry: int = 100_000
+    drift_ratio: float = 0.01
+    retry_interval: int = 100_000
     max_wait: int = 500_000
-    least_life: int = 1_000_000
-    idle: int = 3_000_000
-    waiting: int = 10_000
+    min_seat_lifetime: int = 1_000_000
+    surplus_retention: int = 3_000_000
+    max_waiting: int = 10_000
     retry_after: int = 1_000_000
 
-    def at_home(self) -> int:
-        """How long a home takes a share to run: longer than any drift makes it at the borrower."""
-        return round(self.lease * (1 + 2 * self.drift))
+    def lender_lease(self) -> int:
+        """How long the home counts a share as leased: longer than the borrower uses it at any clock drift."""
+        return round(self.lease * (1 + 2 * self.drift_ratio))
 
-    def at_borrower(self) -> int:
-        return round(self.lease * (1 - 2 * self.drift))
+    def borrower_lease(self) -> int:
+        return round(self.lease * (1 - 2 * self.drift_ratio))
 
 
 # Messages between fronts
 
 
 @dataclass(frozen=True, slots=True)
-class Ask:
-    """A front wants so many seats of an entitlement in all; `used` of them play."""
+class LeaseRequest:
+    """A front requests a share of `wanted` seats in total; `used` seats of its share are granted now."""
 
     key: Key
     epoch: int
     number: int
-    fence: int
-    want: int
+    home_epoch: int
+    wanted: int
     used: int
 
 
 @dataclass(frozen=True, slots=True)
-class Lend:
-    """The home's answer. `count` is -1 where only the fence is told; `wanted` says that others lack seats."""
+class LeaseResponse:
+    """The home's response to a LeaseRequest: the front's whole share.
+
+    `count` is -1 if the request was made for an earlier run of the home: it leases nothing and tells only
+    `home_epoch`. `exhausted` says that the home has no more seats and other fronts hold none in reserve."""
 
     key: Key
     epoch: int
     number: int
-    fence: int
+    home_epoch: int
     count: int
-    wanted: bool = False
+    exhausted: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class Recall:
-    """The home asks for what a front does not need."""
+    """The home asks a front to return the seats that it does not need."""
 
     key: Key
-    fence: int
+    home_epoch: int
 
 
-Message = Ask | Lend | Recall
+Message = LeaseRequest | LeaseResponse | Recall
 
 
-# What the core wants done
+# Effects, which the caller carries out
 
 
 @dataclass(frozen=True, slots=True)
@@ -102,7 +113,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Granted:
-    """The answer to a ticket: a seat, its generation, and when it expires."""
+    """The reply to the request `ticket`: a seat, its generation, and when it expires."""
 
     ticket: int
     seat: str
@@ -115,7 +126,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Refused:
-    """The answer to a ticket: no seat. `reason` is a code of the protocol, `retry_after` in microseconds."""
+    """The reply to the request `ticket`: no seat. `reason` is an error code of the protocol; a retry is
+    welcome after `retry_after` microseconds."""
 
     ticket: int
     reason: str
@@ -124,7 +136,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Expired:
-    """A seat ran out and is back: its session must not go on."""
+    """A seat has expired and is free again: its session must end."""
 
     seat: str
     sess: str
@@ -138,7 +150,7 @@
 
 @dataclass(slots=True)
 class Seat:
-    """One seat that is granted."""
+    """A granted seat. `record_number` is the number of the record of its newest generation."""
 
     seat: str
     key: Key
@@ -146,72 +158,78 @@
     sess: str
     generation: int
     expires: int
-    written: int = 0
+    record_number: int = 0
 
 
 @dataclass(slots=True)
 class Share:
-    """What this front may grant of one entitlement, and its questions to the home."""
+    """What this front may grant of one entitlement, its seats, and its requests to the home."""
 
     count: int = 0
     expires: int = 0
-    number: int = 0
-    lowered: int = 0
-    accepted: int = 0
-    fence: int = 0
-    sent: dict[int, tuple[int, int]] = field(default_factory=dict)  # number: when sent, and for how many
-    asked_at: int = -(1 << 60)
-    full_until: int = 0
-    scarce_until: int = 0  # others lack seats: none is held in reserve
-    idle_since: int | None = None
+    request_number: int = 0
+    lowering_request: int = 0  # the newest request for fewer seats than the share may have
+    accepted_request: int = 0  # the newest request whose response was accepted
+    home_epoch: int = 0
+    sent_requests: dict[int, tuple[int, int]] = field(
+        default_factory=dict
+    )  # by number: when sent, and for how many seats
+    requested_at: int = -(1 << 60)
+    refuse_new_until: int = 0  # the home is exhausted: requests for new seats are refused at once
+    scarce_until: int = 0  # other fronts need seats: none is held in reserve
+    surplus_since: int | None = None
     seats: dict[str, Seat] = field(default_factory=dict)
-    owners: dict[tuple[str, str], str] = field(default_factory=dict)  # (viewer, session): seat
-    ends: list[tuple[int, str]] = field(
+    seat_by_session: dict[tuple[str, str], str] = field(default_factory=dict)  # by viewer and session
+    expiries: list[tuple[int, str]] = field(
         default_factory=list
-    )  # a heap; a seat that was extended is in it again
-    waiting: deque["Waiting"] = field(default_factory=deque)
+    )  # a heap; a renewed seat has an entry for each of its expiry times
+    waiting: deque["WaitingRequest"] = field(default_factory=deque)
 
 
 @dataclass(slots=True)
-class Waiting:
-    """A request that needs a share first."""
+class WaitingRequest:
+    """A viewer's request that waits for a share."""
 
     ticket: int
-    until: int
+    deadline: int
     viewer: str
     sess: str
-    renews: str = ""  # the seat, where it is a renewal, and the generation that was shown
-    generation: int = 0
+    renewed_seat: str = ""  # empty in a request for a new seat
+    generation: int = 0  # that the viewer presented, in a renewal
 
 
 @dataclass(slots=True)
-class Lent:
-    """What the home has lent to one front."""
+class Lease:
+    """The share that the home has leased to one front.
+
+    `epoch` and `number` are those of the front's newest request, `used` is how many seats it reported as
+    granted. `record_number` is the number of the record of the newest change of `count`."""
 
     count: int
-    until: int
+    expires: int
     epoch: int = 0
     number: int = 0
     used: int = 0
-    written: int = 0
+    record_number: int = 0
 
 
 @dataclass(slots=True)
 class LeaseTable:
-    """What the home keeps of one entitlement."""
+    """The home's leases of one entitlement, by borrowing front."""
 
-    leases: dict[int, Lent] = field(default_factory=dict)
+    leases: dict[int, Lease] = field(default_factory=dict)
     recalled_at: int = -(1 << 60)
 
 
-def home_of(key: Key, fronts: int) -> int:
+def home_front(key: Key, fronts: int) -> int:
     """The home front of an entitlement, by rendezvous hashing (Thaler and Ravishankar, 1998)."""
     name = "\0".join(key)
     return max(range(fronts), key=lambda front: (xxhash.xxh64_intdigest(f"{name}\0{front}"), front))
 
 
 class Seats:
-    """All entitlements of one front. Every way in takes `now` and returns effects in order."""
+    """The seats of all entitlements at one front, as borrower and as home. Each entry point takes the time
+    `now` and returns effects, which are to be carried out in order."""
 
     def __init__(
         self, me: int, fronts: int, limits: dict[Key, int], timing: Timing, epoch: int, now: int
@@ -220,392 +238,439 @@
         self.epoch = epoch
         self.shares: dict[Key, Share] = {}
         self.lease_tables: dict[Key, LeaseTable] = {}
-        self.no_leases_until = (
-            now + timing.at_home()
-        )  # without a journal: all that may run from before lapses
-        self.written = self.durable_to = 0
-        self.made = 0
+        # Without a journal, leases of an earlier run are unknown: wait until all of them have expired.
+        self.no_leases_until = now + timing.lender_lease()
+        self.last_record = self.last_durable_record = 0
+        self.created_seats = 0
         self.refusals: dict[str, int] = {}
         self.sent_messages = 0
-        self._held_back: deque[tuple[int, Effect]] = deque()
+        self._delayed_effects: deque[tuple[int, Effect]] = deque()
 
     # Recovery
 
     def recover(self, now: int, state: Any, records: list[Any]) -> None:
-        """Take back what was durable. Grants that run are honoured; what was lent is taken to run anew."""
+        """Restores the durable state: a snapshot and the records after it. Granted seats stay valid; each
+        lease is taken to begin now, as its start is not recorded."""
         if state is None and not records:
             return
         self.no_leases_until = now
         for record in [*(state or []), *records]:
-            self._apply(now, record)
+            self._apply_record(now, record)
         for share in self.shares.values():
             for seat in list(share.seats.values()):
-                seat.expires = min(seat.expires, now + self.timing.token)
-                heapq.heappush(share.ends, (seat.expires, seat.seat))
-            self._expire(now, share)
+                seat.expires = min(seat.expires, now + self.timing.seat_lifetime)
+                heapq.heappush(share.expiries, (seat.expires, seat.seat))
+            self._expire_seats(now, share)
         for table in self.lease_tables.values():
-            for lent in table.leases.values():
-                lent.until = now + self.timing.at_home()
+            for lease in table.leases.values():
+                lease.expires = now + self.timing.lender_lease()
 
-    def _apply(self, now: int, record: list[Any]) -> None:
+    def _apply_record(self, now: int, record: list[Any]) -> None:
         match record:
-            case ["seat", seat, tenant, name, viewer, sess, generation, expires]:
-                self._keep(Seat(seat, (tenant, name), viewer, sess, generation, expires))
-            case ["back", seat, tenant, name]:
-                self._drop(self.share((tenant, name)), seat)
-            case ["lent", tenant, name, peer, 0]:
-                self.lease_table((tenant, name)).leases.pop(peer, None)
-            case ["lent", tenant, name, peer, count]:
-                self.lease_table((tenant, name)).leases[peer] = Lent(count, now)
+            case ["seat", seat, tenant, entitlement, viewer, sess, generation, expires]:
+                self._add_seat(Seat(seat, (tenant, entitlement), viewer, sess, generation, expires))
+            case ["back", seat, tenant, entitlement]:
+                self._remove_seat(self.share((tenant, entitlement)), seat)
+            case ["lent", tenant, entitlement, peer, 0]:
+                self.lease_table((tenant, entitlement)).leases.pop(peer, None)
+            case ["lent", tenant, entitlement, peer, count]:
+                self.lease_table((tenant, entitlement)).leases[peer] = Lease(count, now)
             case _:
-                return  # begun, or a kind of a newer version that says nothing here
+                return  # "begun", or a kind of record that only newer versions use
 
     def state(self) -> list[Any]:
-        """All of it as records, for a snapshot."""
+        """The whole state as records, for a snapshot."""
         seats = [_seat_record(seat) for share in self.shares.values() for seat in share.seats.values()]
-        lent = [
-            ["lent", *key, peer, lent.count]
+        leases = [
+            ["lent", *key, peer, lease.count]
             for key, table in self.lease_tables.items()
-            for peer, lent in table.leases.items()
-            if lent.count
+            for peer, lease in table.leases.items()
+            if lease.count
         ]
-        return [["begun", self.epoch], *seats, *lent]
+        return [["begun", self.epoch], *seats, *leases]
 
-    # What is asked of this front
+    # Entry points
 
     def start(self, now: int) -> list[Effect]:
-        """The first record of a life, so that the next knows there was one."""
+        """Writes the first record of a run, which tells the next run that there was one, and its epoch."""
         return [self._write(["begun", self.epoch])]
 
     def take(self, now: int, ticket: int, key: Key, viewer: str, sess: str) -> list[Effect]:
-        """A viewer wants a seat for a session; asked again, it gets the one it has."""
+        """Takes a seat for a viewer's session; a repeated request gets the seat that the session has."""
         if key not in self.limits:
             return [self._refuse(ticket, "no-such-entitlement")]
         share = self.share(key)
-        out = self._expire(now, share)
-        return out + self._wait(now, key, Waiting(ticket, now + self.timing.max_wait, viewer, sess))
+        effects = self._expire_seats(now, share)
+        return effects + self._enqueue(
+            now, key, WaitingRequest(ticket, now + self.timing.max_wait, viewer, sess)
+        )
 
     def renew(self, now: int, ticket: int, key: Key, seat: str, viewer: str, generation: int) -> list[Effect]:
-        """A viewer shows a seat's generation. The newest is extended under the next one; the one before it, a
-        renewal whose answer was lost, gets the same answer again; older ones and others are refused."""
+        """Renews a seat for a viewer that presents one of its generations.
+
+        The newest generation is extended as the next one. The generation before it is a renewal whose reply
+        was lost, and gets the same reply again. All others are refused."""
         share = self.share(key)
-        out = self._expire(now, share)
+        effects = self._expire_seats(now, share)
         held = share.seats.get(seat)
         if held is None:
-            return [*out, self._refuse(ticket, "expired")]
+            return [*effects, self._refuse(ticket, "expired")]
         if held.viewer != viewer:
-            return [*out, self._refuse(ticket, "not-yours")]
+            return [*effects, self._refuse(ticket, "not-yours")]
         if generation == held.generation - 1:
-            return out + self._after(held.written, self._granted(ticket, held), now)
+            return effects + self._when_durable(held.record_number, self._granted(ticket, held), now)
         if generation != held.generation:
             reason = "superseded" if generation < held.generation else "never-given"
-            return [*out, self._refuse(ticket, reason)]
-        waiting = Waiting(
+            return [*effects, self._refuse(ticket, reason)]
+        request = WaitingRequest(
             ticket, min(now + self.timing.max_wait, held.expires), viewer, held.sess, seat, generation
         )
-        return out + self._wait(now, key, waiting)
+        return effects + self._enqueue(now, key, request)
 
     def give_back(self, now: int, key: Key, seat: str, viewer: str) -> list[Effect]:
-        """A seat is free at once; asked twice, nothing more happens."""
+        """Frees a viewer's seat at once; a repeated call has no effect."""
         share = self.share(key)
         held = share.seats.get(seat)
         if held is None or held.viewer != viewer:
             return []
-        self._drop(share, seat)
-        out = [self._write(["back", seat, *key]), *self._serve(now, key)]
-        return out + self._tend(now, key, share) if now < share.scarce_until else out
+        self._remove_seat(share, seat)
+        effects = [self._write(["back", seat, *key]), *self._serve_waiting(now, key)]
+        return effects + self._adjust_share(now, key, share) if now < share.scarce_until else effects
 
     def set_limits(self, now: int, limits: dict[Key, int]) -> list[Effect]:
-        """Limits change in service. Nobody is cut; none is granted or lent until it fits."""
+        """Replaces the limits. Seats above a lowered limit keep running; none is granted or leased until the
+        leases are below it."""
         self.limits = dict(limits)
-        out: list[Effect] = []
+        effects: list[Effect] = []
         for key, table in self.lease_tables.items():
-            out += self._lapse(now, key, table)
-            if self._lent(table) > self.limits.get(key, 0):
-                out += self._recall(now, key, table)
-        return out
+            effects += self._remove_expired_leases(now, key, table)
+            if self._leased_count(table) > self.limits.get(key, 0):
+                effects += self._recall_unused(now, key, table)
+        return effects
 
     def on_durable(self, now: int, number: int) -> list[Effect]:
-        """All writes up to a number are durable: what waited for them goes out."""
-        self.durable_to = max(self.durable_to, number)
-        out: list[Effect] = []
-        while self._held_back and self._held_back[0][0] <= self.durable_to:
-            out += self._pass(now, self._held_back.popleft()[1])
-        return out
+        """All records up to `number` are durable: returns the effects that waited for them."""
+        self.last_durable_record = max(self.last_durable_record, number)
+        effects: list[Effect] = []
+        while self._delayed_effects and self._delayed_effects[0][0] <= self.last_durable_record:
+            effects += self._release(now, self._delayed_effects.popleft()[1])
+        return effects
 
     def receive(self, now: int, peer: int, message: Message) -> list[Effect]:
-        """A message from another front."""
+        """Handles a message from another front."""
         match message:
-            case Ask():
-                return self._asked(now, peer, message)
-            case Lend():
-                return self._lend(now, peer, message)
+            case LeaseRequest():
+                return self._receive_request(now, peer, message)
+            case LeaseResponse():
+                return self._receive_response(now, peer, message)
             case Recall(key, _):
-                if peer != home_of(key, self.fronts) or key not in self.shares:
+                if peer != home_front(key, self.fronts) or key not in self.shares:
                     return []
                 share = self.shares[key]
-                share.scarce_until = now + 2 * self.timing.idle
-                need = len(share.seats) + len(share.waiting)
-                return self._ask(now, key, need) if need < share.count else []
+                share.scarce_until = now + 2 * self.timing.surplus_retention
+                needed = len(share.seats) + len(share.waiting)
+                return self._request_lease(now, key, needed) if needed < share.count else []
 
     def tick(self, now: int) -> list[Effect]:
-        """To be called at `next_due` or a little later: seats expire, waits end, shares are renewed."""
-        out: list[Effect] = []
+        """To be called periodically: expires seats, refuses requests past their deadline, renews leases."""
+        effects: list[Effect] = []
         for key, share in self.shares.items():
-            out += self._expire(now, share)
-            while share.waiting and share.waiting[0].until <= now:
-                waiting = share.waiting.popleft()
-                out.append(self._refuse(waiting.ticket, "no-seat", self.timing.retry_after))
-            out += self._tend(now, key, share)
-        return out
+            effects += self._expire_seats(now, share)
+            while share.waiting and share.waiting[0].deadline <= now:
+                request = share.waiting.popleft()
+                effects.append(self._refuse(request.ticket, "no-seat", self.timing.retry_after))
+            effects += self._adjust_share(now, key, share)
+        return effects
 
     # The borrower
 
     def share(self, key: Key) -> Share:
         return self.shares.setdefault(key, Share())
 
-    def _keep(self, seat: Seat) -> None:
+    def _add_seat(self, seat: Seat) -> None:
         share = self.share(seat.key)
         share.seats[seat.seat] = seat
-        share.owners[(seat.viewer, seat.sess)] = seat.seat
-        heapq.heappush(share.ends, (seat.expires, seat.seat))
+        share.seat_by_session[(seat.viewer, seat.sess)] = seat.seat
+        heapq.heappush(share.expiries, (seat.expires, seat.seat))
 
-    def _drop(self, share: Share, name: str) -> Seat | None:
+    def _remove_seat(self, share: Share, name: str) -> Seat | None:
         seat = share.seats.pop(name, None)
         if seat is not None:
-            share.owners.pop((seat.viewer, seat.sess), None)
+            share.seat_by_session.pop((seat.viewer, seat.sess), None)
         return seat
 
-    def _held(self, now: int, share: Share) -> int:
+    def _usable_count(self, now: int, share: Share) -> int:
+        """The size of the share, 0 if its lease has expired."""
         return share.count if share.expires > now else 0
 
-    def _expire(self, now: int, share: Share) -> list[Effect]:
-        out: list[Effect] = []
-        while share.ends and share.ends[0][0] <= now:
-            _, name = heapq.heappop(share.ends)
-            held = share.seats.get(name)
-            if held is not None and held.expires <= now:
-                self._drop(share, name)
-                out.append(Expired(name, held.sess))
-        return out
-
-    def _wait(self, now: int, key: Key, waiting: Waiting) -> list[Effect]:
+    def _expire_seats(self, now: int, share: Share) -> list[Effect]:
+        effects: list[Effect] = []
+        while share.expiries and share.expiries[0][0] <= now:
+            _, name = heapq.heappop(share.expiries)
+            seat = share.seats.get(name)
+            if seat is not None and seat.expires <= now:
+                self._remove_seat(share, name)
+                effects.append(Expired(name, seat.sess))
+        return effects
+
+    def _enqueue(self, now: int, key: Key, request: WaitingRequest) -> list[Effect]:
         share = self.share(key)
-        if len(share.waiting) >= self.timing.waiting:
-            return [self._refuse(waiting.ticket, "too-many-waiting", self.timing.retry_after)]
-        share.waiting.append(waiting)
-        out = self._serve(now, key)
-        return out + self._tend(now, key, share)
-
-    def _serve(self, now: int, key: Key) -> list[Effect]:
-        """Who waits is served in order, as far as the share goes: the one place where a seat is granted."""
-        share, timing, out = self.share(key), self.timing, list[Effect]()
+        if len(share.waiting) >= self.timing.max_waiting:
+            return [self._refuse(request.ticket, "too-many-waiting", self.timing.retry_after)]
+        share.waiting.append(request)
+        effects = self._serve_waiting(now, key)
+        return effects + self._adjust_share(now, key, share)
+
+    def _serve_waiting(self, now: int, key: Key) -> list[Effect]:
+        """Serves waiting requests in order, as far as the share allows; nothing else grants seats."""
+        share, timing, effects = self.share(key), self.timing, list[Effect]()
         while share.waiting:
-            waiting = share.waiting[0]
-            life = min(now + timing.token, share.expires) - now
-            if self._held(now, share) == 0 or life < min(timing.least_life, timing.token // 2):
-                return out
-            if waiting.renews:
+            request = share.waiting[0]
+            lifetime = min(now + timing.seat_lifetime, share.expires) - now
+            if self._usable_count(now, share) == 0 or lifetime < min(
+                timing.min_seat_lifetime, timing.seat_lifetime // 2
+            ):
+                return effects
+            if request.renewed_seat:
                 share.waiting.popleft()
-                found = share.seats.get(waiting.renews)
-                if found is None or found.expires <= now:
-                    out.append(self._refuse(waiting.ticket, "expired"))
+                renewed = share.seats.get(request.renewed_seat)
+                if renewed is None or renewed.expires <= now:
+                    effects.append(self._refuse(request.ticket, "expired"))
                     continue
-                held = found
-                if held.generation == waiting.generation:  # else its twin was served before it
-                    held.generation += 1
-                    held.expires = max(held.expires, now + life)
-                    heapq.heappush(share.ends, (held.expires, held.seat))
-            elif (owned := share.owners.get((waiting.viewer, waiting.sess))) is not None:
-                share.waiting.popleft()  # asked again: it has its seat already
-                held = share.seats[owned]
-                out += self._after(held.written, self._granted(waiting.ticket, held), now)
+                seat = renewed
+                if seat.generation == request.generation:  # else a repeat of this renewal was served before
+                    seat.generation += 1
+                    seat.expires = max(seat.expires, now + lifetime)
+                    heapq.heappush(share.expiries, (seat.expires, seat.seat))
+            elif (session_seat := share.seat_by_session.get((request.viewer, request.sess))) is not None:
+                share.waiting.popleft()  # a repeated request: the session has a seat already
+                seat = share.seats[session_seat]
+                effects += self._when_durable(seat.record_number, self._granted(request.ticket, seat), now)
                 continue
             else:
-                if len(share.seats) >= self._held(now, share):
-                    return out
+                if len(share.seats) >= self._usable_count(now, share):
+                    return effects
                 share.waiting.popleft()
-                self.made += 1
-                name = f"{self.me}.{self.epoch}.{self.made}"
-                held = Seat(name, key, waiting.viewer, waiting.sess, 1, now + life)
-                self._keep(held)
-            write = self._write(_seat_record(held))
-            held.written = write.number
-            out += [write, *self._after(held.written, self._granted(waiting.ticket, held), now)]
-        return out
-
-    def _tend(self, now: int, key: Key, share: Share) -> list[Effect]:
-        """Ask the home for what is needed: more for who waits, the lease again, less when idle for a
-        while."""
-        used, held = len(share.seats), self._held(now, share)
-        fresh = sum(not waiting.renews for waiting in share.waiting)
-        need = used + fresh
+                self.created_seats += 1
+                name = f"{self.me}.{self.epoch}.{self.created_seats}"
+                seat = Seat(name, key, request.viewer, request.sess, 1, now + lifetime)
+                self._add_seat(seat)
+            write = self._write(_seat_record(seat))
+            seat.record_number = write.number
+            effects += [
+                write,
+                *self._when_durable(seat.record_number, self._granted(request.ticket, seat), now),
+            ]
+        return effects
+
+    def _adjust_share(self, now: int, key: Key, share: Share) -> list[Effect]:
+        """Requests from the home what this front needs: more seats for waiting requests, a renewal of the
+        lease before it expires, or fewer seats once there has been a surplus for a while."""
+        used, usable = len(share.seats), self._usable_count(now, share)
+        new_requests = sum(not request.renewed_seat for request in share.waiting)
+        needed = used + new_requests
         scarce = now < share.scarce_until
-        spare = 0 if scarce else max(1, need // 4)
-        out: list[Effect] = []
-        if fresh and now < share.full_until:
-            out, need = self._turn_away(share), len(share.seats)
-        unanswered = share.accepted < share.number and now - share.asked_at < self.timing.retry
-        if need > held or share.waiting:
-            return out if unanswered else out + self._ask(now, key, need + spare)
-        if (need or held) and share.expires - now < 2 * self.timing.at_borrower() // 3:
-            pause = self.timing.lease // 12
-            return out + self._ask(now, key, max(held, need)) if now - share.asked_at >= pause else out
-        if held > need + 2 * spare + (not scarce):
-            share.idle_since = now if share.idle_since is None else share.idle_since
-            if scarce or now - share.idle_since >= self.timing.idle:
-                share.idle_since = None
-                return out + self._ask(now, key, need + spare)
+        reserve = 0 if scarce else max(1, needed // 4)
+        effects: list[Effect] = []
+        if new_requests and now < share.refuse_new_until:
+            effects, needed = self._refuse_new_requests(share), len(share.seats)
+        unanswered = (
+            share.accepted_request < share.request_number
+            and now - share.requested_at < self.timing.retry_interval
+        )
+        if needed > usable or share.waiting:
+            return effects if unanswered else effects + self._request_lease(now, key, needed + reserve)
+        if (needed or usable) and share.expires - now < 2 * self.timing.borrower_lease() // 3:
+            renewal_interval = self.timing.lease // 12
+            return (
+                effects + self._request_lease(now, key, max(usable, needed))
+                if now - share.requested_at >= renewal_interval
+                else effects
+            )
+        if usable > needed + 2 * reserve + (not scarce):
+            share.surplus_since = now if share.surplus_since is None else share.surplus_since
+            if scarce or now - share.surplus_since >= self.timing.surplus_retention:
+                share.surplus_since = None
+                return effects + self._request_lease(now, key, needed + reserve)
         else:
-            share.idle_since = None
-        return out
-
-    def _turn_away(self, share: Share) -> list[Effect]:
-        """Who wants a new seat is answered at once; who renews one still waits for the lease."""
-        out: list[Effect] = []
-        renewals = deque(waiting for waiting in share.waiting if waiting.renews)
-        for waiting in share.waiting:
-            if not waiting.renews:
-                out.append(self._refuse(waiting.ticket, "no-seat", self.timing.retry_after))
+            share.surplus_since = None
+        return effects
+
+    def _refuse_new_requests(self, share: Share) -> list[Effect]:
+        """Refuses all waiting requests for new seats; renewals go on waiting for the lease."""
+        effects: list[Effect] = []
+        renewals = deque(request for request in share.waiting if request.renewed_seat)
+        for request in share.waiting:
+            if not request.renewed_seat:
+                effects.append(self._refuse(request.ticket, "no-seat", self.timing.retry_after))
         share.waiting = renewals
-        return out
+        return effects
 
-    def _ask(self, now: int, key: Key, want: int) -> list[Effect]:
-        """A question to the home. One for less than we hold lowers our share before it goes out."""
+    def _request_lease(self, now: int, key: Key, wanted: int) -> list[Effect]:
+        """Sends a request to the home. One for fewer seats lowers the share at once, before it is sent."""
         if now < self.no_leases_until:
             return []
         share = self.share(key)
-        share.number += 1
-        share.asked_at = now
-        recent = now - self.timing.lease // 2
-        share.sent = {number: asked for number, asked in share.sent.items() if asked[0] > recent}
-        hoped = [many for number, (_, many) in share.sent.items() if number > share.accepted]
-        if want < max([share.count, *hoped]):
-            # Guards against an answer to a question for more that comes after this word for less: the home
-            # has taken the difference back by then, also where no share was held yet.
-            share.count, share.lowered = min(share.count, want), share.number
-            share.full_until = now  # the home has what comes back: who comes now waits for it
-        share.sent[share.number] = (now, want)
+        share.request_number += 1
+        share.requested_at = now
+        oldest = now - self.timing.lease // 2
+        share.sent_requests = {
+            number: request for number, request in share.sent_requests.items() if request[0] > oldest
+        }
+        pending = [
+            count for number, (_, count) in share.sent_requests.items() if number > share.accepted_request
+        ]
+        if wanted < max([share.count, *pending]):
+            # Guards against a late response to an earlier request for more seats: the home has taken the
+            # difference back by then. This also applies while no share is held yet.
+            share.count, share.lowering_request = min(share.count, wanted), share.request_number
+            share.refuse_new_until = now  # the home gets seats back: new requests wait for them
+        share.sent_requests[share.request_number] = (now, wanted)
         used = len(share.seats)
-        home, ask = home_of(key, self.fronts), Ask(key, self.epoch, share.number, share.fence, want, used)
-        # Guards against seats that come back in a crash after their room was given up: what is freed is
-        # durable before the home hears that it is free.
-        return self._after(self.written, Send(home, ask), now)
-
-    def _lend(self, now: int, peer: int, lend: Lend) -> list[Effect]:
-        share = self.shares.get(lend.key)
-        if share is None or peer != home_of(lend.key, self.fronts) or lend.epoch != self.epoch:
+        home, request = (
+            home_front(key, self.fronts),
+            LeaseRequest(key, self.epoch, share.request_number, share.home_epoch, wanted, used),
+        )
+        # Guards against a crash that brings freed seats back after the home has leased them to another front:
+        # their records are durable before the home learns that they are free.
+        return self._when_durable(self.last_record, Send(home, request), now)
+
+    def _receive_response(self, now: int, peer: int, response: LeaseResponse) -> list[Effect]:
+        share = self.shares.get(response.key)
+        if share is None or peer != home_front(response.key, self.fronts) or response.epoch != self.epoch:
             return []
-        if lend.number not in share.sent or lend.number < share.lowered or lend.number <= share.accepted:
-            # Guards against an answer that is overtaken: by a later one, whose time it would run under with
-            # another count, or by our own word for less.
+        if (
+            response.number not in share.sent_requests
+            or response.number < share.lowering_request
+            or response.number <= share.accepted_request
+        ):
+            # Guards against an outdated response. Its count must not replace that of a later response, whose
+            # lease it would run under, nor that of a later request for fewer seats.
             return []
-        share.accepted = lend.number
-        if lend.count < 0:
-            if share.fence == lend.fence:
+        share.accepted_request = response.number
+        if response.count < 0:
+            if share.home_epoch == response.home_epoch:
                 return []
-            share.fence = lend.fence
+            share.home_epoch = response.home_epoch
             used = len(share.seats)
-            return self._ask(now, lend.key, max(used + len(share.waiting) + 1, self._held(now, share)))
-        sent, _ = share.sent[lend.number]
-        share.expires = max(share.expires, sent + self.timing.at_borrower())
-        share.count = lend.count
-        out = self._serve(now, lend.key)
-        if (
-            lend.wanted
-        ):  # the home has no more: who waits, and who comes in the next moment, is answered at once
-            share.full_until = now + self.timing.retry // 4
-            out += self._turn_away(share)
-        return out
+            return self._request_lease(
+                now, response.key, max(used + len(share.waiting) + 1, self._usable_count(now, share))
+            )
+        sent_at, _ = share.sent_requests[response.number]
+        share.expires = max(share.expires, sent_at + self.timing.borrower_lease())
+        share.count = response.count
+        effects = self._serve_waiting(now, response.key)
+        if response.exhausted:
+            # The home has no more seats: requests that wait, or arrive shortly, are refused at once.
+            share.refuse_new_until = now + self.timing.retry_interval // 4
+            effects += self._refuse_new_requests(share)
+        return effects
 
     # The home
 
     def lease_table(self, key: Key) -> LeaseTable:
         return self.lease_tables.setdefault(key, LeaseTable())
 
-    def _lent(self, table: LeaseTable) -> int:
-        return sum(lent.count for lent in table.leases.values())
+    def _leased_count(self, table: LeaseTable) -> int:
+        return sum(lease.count for lease in table.leases.values())
+
+    def _remove_expired_leases(self, now: int, key: Key, table: LeaseTable) -> list[Effect]:
+        """Removes expired leases and records it.
 
-    def _lapse(self, now: int, key: Key, table: LeaseTable) -> list[Effect]:
-        """Guards against a share that lapsed and was lent elsewhere, and runs anew after our restart: that it
-        lapsed stands in the journal before whatever is lent from it."""
-        gone = [peer for peer, lent in table.leases.items() if lent.until <= now]
-        for peer in gone:
+        Guards against a restart of the home that revives an expired lease whose seats were leased again: its
+        removal is in the journal before any new lease of its seats."""
+        expired = [peer for peer, lease in table.leases.items() if lease.expires <= now]
+        for peer in expired:
             del table.leases[peer]
-        return [self._write(["lent", *key, peer, 0]) for peer in gone]
+        return [self._write(["lent", *key, peer, 0]) for peer in expired]
 
-    def _asked(self, now: int, peer: int, ask: Ask) -> list[Effect]:
-        """A front's question. What is lent is never lowered but by its borrower's own word."""
-        key = ask.key
-        if home_of(key, self.fronts) != self.me or now < self.no_leases_until or key not in self.limits:
+    def _receive_request(self, now: int, peer: int, request: LeaseRequest) -> list[Effect]:
+        """Answers a front's request. A lease is lowered only by a request of its borrower."""
+        key = request.key
+        if home_front(key, self.fronts) != self.me or now < self.no_leases_until or key not in self.limits:
             return []
-        if ask.fence != self.epoch:
-            # Guards against a word for less from before our restart, overtaken since by one for more.
-            return self._to(now, peer, Lend(key, ask.epoch, ask.number, self.epoch, -1))
+        if request.home_epoch != self.epoch:
+            # Guards against a request for fewer seats from before this home's restart, which arrives after a
+            # later one for more.
+            return self._send(now, peer, LeaseResponse(key, request.epoch, request.number, self.epoch, -1))
         table = self.lease_table(key)
-        out = self._lapse(now, key, table)
-        in_all = self._lent(table)
-        lent = table.leases.get(peer) or Lent(0, now)
-        if (ask.epoch, ask.number) < (lent.epoch, lent.number):
-            return out
-        free = max(0, self.limits[key] - in_all)
-        count = ask.want if ask.want <= lent.count else lent.count + min(ask.want - lent.count, free)
-        before, lent.count = lent.count, count
-        lent.epoch, lent.number, lent.used = ask.epoch, ask.number, ask.used
-        lent.until = now + self.timing.at_home()
-        table.leases[peer] = lent
-        # What others hold in reserve is called back, and who asks waits for it; else it is turned away.
-        reserve = any(one.count > one.used for other, one in table.leases.items() if other != peer)
-        short = count < ask.want and ask.want > before and not reserve
-        answer = Lend(key, ask.epoch, ask.number, self.epoch, count, short)
-        if count != before:
+        effects = self._remove_expired_leases(now, key, table)
+        leased = self._leased_count(table)
+        lease = table.leases.get(peer) or Lease(0, now)
+        if (request.epoch, request.number) < (lease.epoch, lease.number):
+            return effects
+        free = max(0, self.limits[key] - leased)
+        count = (
+            request.wanted
+            if request.wanted <= lease.count
+            else lease.count + min(request.wanted - lease.count, free)
+        )
+        previous_count, lease.count = lease.count, count
+        lease.epoch, lease.number, lease.used = request.epoch, request.number, request.used
+        lease.expires = now + self.timing.lender_lease()
+        table.leases[peer] = lease
+        # If other fronts hold seats in reserve, they are recalled and the borrower waits for them; only if
+        # there are none is it told that the home is exhausted.
+        reserve = any(
+            peer_lease.count > peer_lease.used
+            for borrower, peer_lease in table.leases.items()
+            if borrower != peer
+        )
+        exhausted = count < request.wanted and request.wanted > previous_count and not reserve
+        response = LeaseResponse(key, request.epoch, request.number, self.epoch, count, exhausted)
+        if count != previous_count:
             write = self._write(["lent", *key, peer, count])
-            lent.written = write.number
-            out.append(write)
-        # Guards against a question that comes twice: its second answer waits for the record like the first.
-        out += self._after(lent.written, Send(peer, answer), now)
-        if count < ask.want or in_all > self.limits[key]:
-            out += self._recall(now, key, table)
-        return out
-
-    def _recall(self, now: int, key: Key, table: LeaseTable) -> list[Effect]:
-        if now - table.recalled_at < self.timing.retry:
+            lease.record_number = write.number
+            effects.append(write)
+        # Guards against a duplicated request: its second response waits for the record as the first does.
+        effects += self._when_durable(lease.record_number, Send(peer, response), now)
+        if count < request.wanted or leased > self.limits[key]:
+            effects += self._recall_unused(now, key, table)
+        return effects
+
+    def _recall_unused(self, now: int, key: Key, table: LeaseTable) -> list[Effect]:
+        if now - table.recalled_at < self.timing.retry_interval:
             return []
         table.recalled_at = now
-        idle = [peer for peer, lent in table.leases.items() if lent.count > lent.used]
-        return [effect for peer in idle for effect in self._to(now, peer, Recall(key, self.epoch))]
+        peers = [peer for peer, lease in table.leases.items() if lease.count > lease.used]
+        return [effect for peer in peers for effect in self._send(now, peer, Recall(key, self.epoch))]
 
-    # Writes, and what waits for them
+    # Records, and the effects that wait until they are durable
 
     def _write(self, record: list[Any]) -> Write:
-        self.written += 1
-        return Write(self.written, record)
-
-    def _after(self, number: int, effect: Effect, now: int) -> list[Effect]:
-        """Guards against a grant that a crash would forget: nothing goes out before its record is durable."""
-        if number <= self.durable_to:
-            return self._pass(now, effect)
-        at = len(self._held_back)
-        while at and self._held_back[at - 1][0] > number:
-            at -= 1
-        self._held_back.insert(at, (number, effect))
+        self.last_record += 1
+        return Write(self.last_record, record)
+
+    def _when_durable(self, number: int, effect: Effect, now: int) -> list[Effect]:
+        """The effect, once record `number` is durable.
+
+        Guards against a crash that loses a grant or lease whose reply was sent: no reply precedes its
+        record."""
+        if number <= self.last_durable_record:
+            return self._release(now, effect)
+        position = len(self._delayed_effects)
+        while position and self._delayed_effects[position - 1][0] > number:
+            position -= 1
+        self._delayed_effects.insert(position, (number, effect))
         return []
 
-    def _pass(self, now: int, effect: Effect) -> list[Effect]:
+    def _release(self, now: int, effect: Effect) -> list[Effect]:
+        """Returns an effect whose record is durable, as it is to be carried out now."""
         if isinstance(effect, Send):
-            return self._to(now, effect.peer, effect.message)
+            return self._send(now, effect.peer, effect.message)
         if isinstance(effect, Granted) and effect.seat not in self.share(effect.key).seats:
-            return [self._refuse(effect.ticket, "expired")]  # given back before its answer could go out
+            return [self._refuse(effect.ticket, "expired")]  # given back while the reply waited
         return [effect]
 
-    def _to(self, now: int, peer: int, message: Message) -> list[Effect]:
+    def _send(self, now: int, peer: int, message: Message) -> list[Effect]:
+        """Sends a message; one to this front itself is handled at once."""
         if peer == self.me:
             return self.receive(now, self.me, message)
         self.sent_messages += 1
         return [Send(peer, message)]
 
-    def _granted(self, ticket: int, held: Seat) -> Granted:
-        return Granted(ticket, held.seat, held.key, held.viewer, held.sess, held.generation, held.expires)
+    def _granted(self, ticket: int, seat: Seat) -> Granted:
+        return Granted(ticket, seat.seat, seat.key, seat.viewer, seat.sess, seat.generation, seat.expires)
 
     def _refuse(self, ticket: int, reason: str, retry_after: int = 0) -> Refused:
         self.refusals[reason] = self.refusals.get(reason, 0) + 1
--- a/ponddoor/seats/explore.py
+++ b/ponddoor/seats/explore.py
@@ -14,7 +14,7 @@
 
 KEY: Key = ("t", "e")
 NOW = 10**9
-TIMING = Timing(drift=0.0, retry=0, idle=0)
+TIMING = Timing(drift_ratio=0.0, retry_interval=0, surplus_retention=0)
 
 
 @dataclass(slots=True)
@@ -35,7 +35,8 @@
     def key(self) -> str:
         """What tells two states apart: all but counters that only name things."""
         cores = [
-            (c.epoch, c.durable_to, c.written, _shares(c), _lent(c), repr(c._held_back)) for c in self.cores
+            (c.epoch, c.last_durable_record, c.last_record, _shares(c), _lent(c), repr(c._delayed_effects))
+            for c in self.cores
         ]
         flying = sorted(map(repr, self.flying))
         return repr(
@@ -45,7 +46,15 @@
 
 def _shares(core: Seats) -> list[Any]:
     return [
-        (s.count, s.number, s.lowered, s.accepted, s.fence, sorted(s.seats), len(s.waiting))
+        (
+            s.count,
+            s.request_number,
+            s.lowering_request,
+            s.accepted_request,
+            s.home_epoch,
+            sorted(s.seats),
+            len(s.waiting),
+        )
         for s in core.shares.values()
     ]
 
@@ -53,7 +62,8 @@
 def _lent(core: Seats) -> list[Any]:
     return [
         sorted(
-            (peer, lent.count, lent.epoch, lent.number, lent.written) for peer, lent in table.leases.items()
+            (peer, lent.count, lent.epoch, lent.number, lent.record_number)
+            for peer, lent in table.leases.items()
         )
         for table in core.lease_tables.values()
     ]
--- a/ponddoor/seats/measure.py
+++ b/ponddoor/seats/measure.py
@@ -14,7 +14,7 @@
 from ponddoor.store.journal import Journal
 
 KEY: Key = ("t", "e")
-TIMING = Timing(token=10_000_000, lease=30_000_000)
+TIMING = Timing(seat_lifetime=10_000_000, lease=30_000_000)
 
 
 class _Memory(Disk):
--- a/ponddoor/seats/mutants.py
+++ b/ponddoor/seats/mutants.py
@@ -4,22 +4,22 @@
 from dataclasses import dataclass, fields, replace
 from typing import Any
 
-from ponddoor.seats.core import Ask, Effect, Key, Seats, Timing
+from ponddoor.seats.core import Effect, Key, LeaseRequest, Seats, Timing
 from ponddoor.seats.simulation import Schedule, random_schedule
 
 
 class NoFence(Seats):
     """A home that takes words from before its restart."""
 
-    def _asked(self, now: int, peer: int, ask: Ask) -> list[Effect]:
-        return super()._asked(now, peer, replace(ask, fence=self.epoch))
+    def _receive_request(self, now: int, peer: int, request: LeaseRequest) -> list[Effect]:
+        return super()._receive_request(now, peer, replace(request, home_epoch=self.epoch))
 
 
 class NotDurable(Seats):
     """Grants and loans go out before their record is durable."""
 
-    def _after(self, number: int, effect: Effect, now: int) -> list[Effect]:
-        return self._pass(now, effect)
+    def _when_durable(self, number: int, effect: Effect, now: int) -> list[Effect]:
+        return self._release(now, effect)
 
 
 class NoGeneration(Seats):
@@ -35,10 +35,10 @@
 class NoMargin(Timing):
     """A lease that runs as long at the borrower as at the home, whatever their clocks do."""
 
-    def at_home(self) -> int:
+    def lender_lease(self) -> int:
         return self.lease
 
-    def at_borrower(self) -> int:
+    def borrower_lease(self) -> int:
         return self.lease
 
 
@@ -53,7 +53,7 @@
 def drifting(seed: int) -> Schedule:
     """Clocks that drift far, and fronts cut off for longer than a lease: where the margin matters."""
     plan = random_schedule(seed)
-    timing = replace(plan.timing, drift=0.05, least_life=1000)
+    timing = replace(plan.timing, drift_ratio=0.05, min_seat_lifetime=1000)
     return replace(
         plan,
         timing=timing,
@@ -73,8 +73,8 @@
     """Homes that restart often and at once, and words that arrive long after they were sent."""
     plan = random_schedule(seed)
     return replace(
-        plan, timing=replace(plan.timing, idle=200_000), limit=4, seconds=40, loss=0.0, slow=0.3, double=0.5,
-        crashes=60, disk_losses=0.0, viewers=24, fronts=3, down=200_000,
+        plan, timing=replace(plan.timing, surplus_retention=200_000), limit=4, seconds=40, loss=0.0, slow=0.3,
+        double=0.5, crashes=60, disk_losses=0.0, viewers=24, fronts=3, down=200_000,
     )  # fmt: skip
 
 
--- a/ponddoor/seats/simulation.py
+++ b/ponddoor/seats/simulation.py
@@ -52,7 +52,12 @@
     down: int = 6_000_000
     cuts: int = 0
     timing: Timing = Timing(
-        token=2_000_000, lease=5_000_000, retry=80_000, max_wait=400_000, least_life=200_000, idle=800_000
+        seat_lifetime=2_000_000,
+        lease=5_000_000,
+        retry_interval=80_000,
+        max_wait=400_000,
+        min_seat_lifetime=200_000,
+        surplus_retention=800_000,
     )
 
 
--- a/ponddoor/seats/wire.py
+++ b/ponddoor/seats/wire.py
@@ -3,10 +3,14 @@
 
 import msgspec
 
-from ponddoor.seats.core import Ask, Lend, Message, Recall
+from ponddoor.seats.core import LeaseRequest, LeaseResponse, Message, Recall
 
 MARK = 0x80  # no word of ponddoor.interface.words begins so
-_KINDS: tuple[type[Ask] | type[Lend] | type[Recall], ...] = (Ask, Lend, Recall)
+_KINDS: tuple[type[LeaseRequest] | type[LeaseResponse] | type[Recall], ...] = (
+    LeaseRequest,
+    LeaseResponse,
+    Recall,
+)
 
 
 def encode_message(message: Message) -> bytes:
--- a/tests/seats/test_seats.py
+++ b/tests/seats/test_seats.py
@@ -8,25 +8,25 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
 from ponddoor.seats.core import (
-    Ask,
     Effect,
     Expired,
     Granted,
     Key,
-    Lend,
+    LeaseRequest,
+    LeaseResponse,
     Refused,
     Seats,
     Send,
     Timing,
     Write,
-    home_of,
+    home_front,
 )
 from ponddoor.seats.explore import explore_all
 from ponddoor.seats.mutants import MUTANTS, NotDurable
 from ponddoor.seats.simulation import ExceededError, Simulation, random_schedule, run_schedules
 
 KEY: Key = ("t", "e")
-TIMING = Timing(token=2_000_000, lease=6_000_000)
+TIMING = Timing(seat_lifetime=2_000_000, lease=6_000_000)
 BEGIN = 100_000_000
 
 
@@ -85,7 +85,7 @@
     first = granted(front.take("a"))
     front.now += 1_000_000
     second = granted(front.renew(first))
-    assert (second.generation, second.expires) == (2, front.now + TIMING.token)
+    assert (second.generation, second.expires) == (2, front.now + TIMING.seat_lifetime)
     front.now += 500_000
     assert granted(front.renew(first)) == second  # the same again: the answer was lost, nothing is extended
     third = granted(front.renew(second))
@@ -116,9 +116,9 @@
     front.slow = True
     assert front.take("b") == [] == front.take("b")
     front.slow = False
-    assert {type(effect) for effect in front.run(front.core.on_durable(front.now, front.core.written))} == {
-        Granted
-    }
+    assert {
+        type(effect) for effect in front.run(front.core.on_durable(front.now, front.core.last_record))
+    } == {Granted}
 
 
 def test_an_answer_that_waits_is_refused_when_the_seat_was_given_back() -> None:
@@ -128,7 +128,7 @@
     assert front.renew(first) == []
     front.run(front.core.give_back(front.now, KEY, first.seat, "a"))
     front.slow = False
-    assert refused(front.run(front.core.on_durable(front.now, front.core.written))) == "expired"
+    assert refused(front.run(front.core.on_durable(front.now, front.core.last_record))) == "expired"
 
 
 def test_a_limit_that_is_lowered_cuts_nobody_and_grants_none_until_it_fits() -> None:
@@ -139,10 +139,10 @@
     assert all(isinstance(effect, Granted) for effect in front.renew(held[0]))
     for seat in held[:2]:
         front.run(front.core.give_back(front.now, KEY, seat.seat, seat.viewer))
-        front.now += 4 * TIMING.idle
+        front.now += 4 * TIMING.surplus_retention
         held[2] = granted(front.renew(held[2])) if front.now < held[2].expires else held[2]
         front.run(front.core.tick(front.now))
-    front.run(front.core.tick(front.now + TIMING.idle))
+    front.run(front.core.tick(front.now + TIMING.surplus_retention))
     granted(front.take("d"))
     assert refused(front.take("e")) == "no-seat"
 
@@ -152,7 +152,7 @@
     front.core = Seats(0, 1, {KEY: 1}, TIMING, 8, front.now)
     front.run(front.core.start(front.now))
     assert front.take("a") == []
-    front.now += TIMING.at_home()
+    front.now += TIMING.lender_lease()
     front.run(front.core.tick(front.now))
     granted(front.take("b"))
 
@@ -171,12 +171,12 @@
     assert again.state()[1:] == front.core.state()[1:]
 
 
-def lent(core: Seats, number: int, count: int, fence: int = 5) -> Lend:
-    return Lend(KEY, core.epoch, number, fence, count)
+def lent(core: Seats, number: int, count: int, fence: int = 5) -> LeaseResponse:
+    return LeaseResponse(KEY, core.epoch, number, fence, count)
 
 
 def borrower() -> tuple[Alone, int]:
-    home = home_of(KEY, 2)
+    home = home_front(KEY, 2)
     front = Alone(limit=9, fronts=2, me=1 - home)
     return front, home
 
@@ -187,7 +187,7 @@
     front.take("a")
     asks = [effect.message for effect in front.seen if isinstance(effect, Send)]
     first = asks[0]
-    assert isinstance(first, Ask) and first.want >= 1
+    assert isinstance(first, LeaseRequest) and first.wanted >= 1
     front.now += 200_000
     front.run(core.tick(front.now))
     front.run(core.receive(front.now, home, lent(core, 2, 3)))
@@ -195,7 +195,9 @@
     front.run(core.receive(front.now, home, lent(core, 1, 9)))  # older than the one that counted
     front.run(core.receive(front.now, home, lent(core, 99, 9)))  # to a question that was never sent
     front.run(core.receive(front.now, 1 - home, lent(core, 2, 9)))  # from who is not the home
-    front.run(core.receive(front.now, home, Lend(KEY, core.epoch - 1, 2, 5, 9)))  # for an earlier life
+    front.run(
+        core.receive(front.now, home, LeaseResponse(KEY, core.epoch - 1, 2, 5, 9))
+    )  # for an earlier life
     assert core.share(KEY).count == 3
 
 
@@ -213,9 +215,9 @@
     front.now += 200_000
     front.run(core.tick(front.now))
     wants = [
-        effect.message.want
+        effect.message.wanted
         for effect in front.seen
-        if isinstance(effect, Send) and isinstance(effect.message, Ask)
+        if isinstance(effect, Send) and isinstance(effect.message, LeaseRequest)
     ]
     assert max(wants) > wants[-1]
     front.run(core.receive(front.now, home, lent(core, 1 + wants.index(max(wants)), max(wants))))
@@ -225,26 +227,28 @@
 
 
 def test_a_home_ignores_words_from_before_its_restart() -> None:
-    front = Alone(limit=9, fronts=2, me=home_of(KEY, 2))
+    front = Alone(limit=9, fronts=2, me=home_front(KEY, 2))
     peer = 1 - front.core.me
-    got = front.run(front.core.receive(front.now, peer, Ask(KEY, 3, 4, 6, 5, 0)))
-    assert got == [Send(peer, Lend(KEY, 3, 4, 7, -1))]  # it tells its fence, and lends nothing
-    got = front.run(front.core.receive(front.now, peer, Ask(KEY, 3, 5, 7, 5, 0)))
-    assert got == [Send(peer, Lend(KEY, 3, 5, 7, 5))]
-    assert front.run(front.core.receive(front.now, peer, Ask(KEY, 3, 4, 7, 1, 0))) == []  # an older question
+    got = front.run(front.core.receive(front.now, peer, LeaseRequest(KEY, 3, 4, 6, 5, 0)))
+    assert got == [Send(peer, LeaseResponse(KEY, 3, 4, 7, -1))]  # it tells its fence, and lends nothing
+    got = front.run(front.core.receive(front.now, peer, LeaseRequest(KEY, 3, 5, 7, 5, 0)))
+    assert got == [Send(peer, LeaseResponse(KEY, 3, 5, 7, 5))]
+    assert (
+        front.run(front.core.receive(front.now, peer, LeaseRequest(KEY, 3, 4, 7, 1, 0))) == []
+    )  # an older question
     assert front.core.lease_table(KEY).leases[peer].count == 5
 
 
 def test_a_question_that_comes_twice_is_answered_no_sooner() -> None:
-    front = Alone(limit=9, fronts=2, me=home_of(KEY, 2))
+    front = Alone(limit=9, fronts=2, me=home_front(KEY, 2))
     front.slow, peer = True, 1 - front.core.me
-    ask = Ask(KEY, 3, 5, 7, 5, 0)
+    ask = LeaseRequest(KEY, 3, 5, 7, 5, 0)
     assert (
         front.run(front.core.receive(front.now, peer, ask))
         == []
         == front.run(front.core.receive(front.now, peer, ask))
     )
-    assert len(front.run(front.core.on_durable(front.now, front.core.written))) == 2
+    assert len(front.run(front.core.on_durable(front.now, front.core.last_record))) == 2
 
 
 def test_a_simulated_schedule_is_the_same_again() -> None:
