--- a/ponddoor/seats/tokens.py
+++ b/ponddoor/seats/tokens.py
@@ -1,6 +1,7 @@
-"""Seat tokens: JSON Web Tokens (RFC 7519), signed with HS256 by PyJWT, bound to tenant, entitlement, viewer,
-session and generation. A token says what its front granted; whether the seat still is, that front alone
-knows."""
+"""Seat tokens: JSON Web Tokens (RFC 7519), signed with HS256.
+
+A token is bound to a tenant, entitlement, viewer, session and generation. It states what its front granted;
+only that front knows whether the seat is still held."""
 
 from dataclasses import dataclass
 
@@ -11,7 +12,7 @@
 
 
 class TokenError(Exception):
-    """A token that is not to be trusted; `code` is a word of the protocol."""
+    """A token that must not be trusted; `code` is an error code of the protocol."""
 
     def __init__(self, code: str) -> None:
         super().__init__(code)
@@ -20,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Token:
-    """What a token says. `expires` is the wall clock in microseconds; `front` granted it."""
+    """The claims of a token. `front` is the front that granted it, `expires_us` is by the wall clock."""
 
     tenant: str
     entitlement: str
@@ -29,11 +30,11 @@
     seat: str
     generation: int
     front: int
-    expires: int
+    expires_us: int
 
 
 def encode_token(token: Token, key: bytes) -> str:
-    """The signed text of a token."""
+    """The signed JSON Web Token of these claims."""
     claims = {
         "iss": ISSUER,
         "sub": token.viewer,
@@ -43,16 +44,16 @@
         "seat": token.seat,
         "gen": token.generation,
         "front": token.front,
-        "exp": token.expires / 1_000_000,
+        "exp": token.expires_us / 1_000_000,
     }
     return jwt.encode(claims, key, ALGORITHM)
 
 
 def decode_token(text: str, key: bytes) -> Token:
-    """What a token says, if its signature holds. An expired one is opened as well: the seat's front answers
-    it.
+    """The claims of a signed token.
 
-    Raises TokenError forged-token or malformed-token."""
+    An expired token is decoded as well: its front decides whether the seat still runs. Raises TokenError with the
+    code forged-token or malformed-token."""
     try:
         claims = jwt.decode(
             text, key, [ALGORITHM], options={"verify_exp": False, "verify_aud": False}, issuer=ISSUER
