--- a/ponddoor/seats/tokens.py
+++ b/ponddoor/seats/tokens.py
@@ -52,8 +52,8 @@
 def decode_token(text: str, key: bytes) -> Token:
     """The claims of a signed token.
 
-    An expired token is decoded as well: its front decides whether the seat still runs. Raises TokenError with the
-    code forged-token or malformed-token."""
+    An expired token is decoded as well: its front decides whether the seat still runs. Raises TokenError with
+    the code forged-token or malformed-token."""
     try:
         claims = jwt.decode(
             text, key, [ALGORITHM], options={"verify_exp": False, "verify_aud": False}, issuer=ISSUER
