--- a/ponddoor/seats/mutants.py
+++ b/ponddoor/seats/mutants.py
@@ -57,15 +57,15 @@
     return replace(
         plan,
         timing=timing,
-        drift=0.05,
-        loss=0.0,
-        slow=0.0,
+        drift_ratio=0.05,
+        loss_ratio=0.0,
+        late_ratio=0.0,
         crashes=0,
         viewers=40,
         limit=4,
         fronts=3,
-        cuts=8,
-        seconds=60,
+        partitions=8,
+        duration_s=60,
     )
 
 
@@ -73,8 +73,9 @@
     """Homes that restart often and at once, and words that arrive long after they were sent."""
     plan = random_schedule(seed)
     return replace(
-        plan, timing=replace(plan.timing, surplus_retention=200_000), limit=4, seconds=40, loss=0.0, slow=0.3,
-        double=0.5, crashes=60, disk_losses=0.0, viewers=24, fronts=3, down=200_000,
+        plan, timing=replace(plan.timing, surplus_retention=200_000), limit=4, duration_s=40,
+        loss_ratio=0.0, late_ratio=0.3, duplicate_ratio=0.5, crashes=60, disk_loss_ratio=0.0, viewers=24,
+        fronts=3, max_downtime=200_000,
     )  # fmt: skip
 
 
--- a/tests/seats/test_seats.py
+++ b/tests/seats/test_seats.py
@@ -23,7 +23,7 @@
 )
 from ponddoor.seats.explore import explore_all
 from ponddoor.seats.mutants import MUTANTS, NotDurable
-from ponddoor.seats.simulation import ExceededError, Simulation, random_schedule, run_schedules
+from ponddoor.seats.simulation import SeatInvariantError, Simulation, random_schedule, run_schedules
 
 KEY: Key = ("t", "e")
 TIMING = Timing(seat_lifetime=2_000_000, lease=6_000_000)
@@ -267,7 +267,7 @@
     ran, problem = run_schedules(0, 600, make, shape)
     assert problem, f"not found in {ran} schedules"
     seed = int(problem.split()[1].rstrip(":"))
-    with pytest.raises(ExceededError, match=f"seed {seed}:"):
+    with pytest.raises(SeatInvariantError, match=f"seed {seed}:"):
         Simulation(shape(seed), make).run()
 
 
