--- a/tests/seats/test_seats.py
+++ b/tests/seats/test_seats.py
@@ -22,7 +22,7 @@
     home_front,
 )
 from ponddoor.seats.explore import explore_states
-from ponddoor.seats.mutants import MUTANTS, NotDurable
+from ponddoor.seats.mutants import MUTANTS, NoDurabilitySeats
 from ponddoor.seats.simulation import SeatInvariantError, Simulation, random_schedule, run_schedules
 
 KEY: Key = ("t", "e")
@@ -275,7 +275,7 @@
     """Two fronts, one seat, three viewers, one crash, one loss; with two seats it is run outside CI."""
     states, problem = explore_states(limit=1)
     assert states > 1000 and not problem
-    assert explore_states(limit=1, core_class=NotDurable)[1]
+    assert explore_states(limit=1, core_class=NoDurabilitySeats)[1]
 
 
 class AnyCourse(RuleBasedStateMachine):
