--- a/ponddoor/seats/__init__.py
+++ b/ponddoor/seats/__init__.py
@@ -1,1 +1,1 @@
-"""Seats: how many viewers of an entitlement may play at once, counted over all fronts and never exceeded."""
+"""Seats: limits how many viewers of an entitlement may play at once, over all fronts together."""
