--- a/ponddoor/seats/core.py
+++ b/ponddoor/seats/core.py
@@ -338,8 +338,8 @@
         return effects + self._adjust_share(now, key, share) if now < share.scarce_until else effects
 
     def set_limits(self, now: int, limits: dict[Key, int]) -> list[Effect]:
-        """Replaces the limits. Seats above a lowered limit keep running; none is granted or leased until the
-        leases are below it."""
+        """Replaces the limits. Seats above a lowered limit keep running; unused ones are recalled, and no
+        more are leased until the leases are within it."""
         self.limits = dict(limits)
         effects: list[Effect] = []
         for key, table in self.lease_tables.items():
