--- a/ponddoor/front/seating.py
+++ b/ponddoor/front/seating.py
@@ -10,8 +10,8 @@
 
 from ponddoor.front.words import wall_clock_us
 from ponddoor.seats.core import Effect, Expired, Granted, Key, Message, Refused, Seats, Send, Timing, Write
-from ponddoor.seats.tokens import Token, made
-from ponddoor.seats.wire import pack, unpack
+from ponddoor.seats.tokens import Token, encode_token
+from ponddoor.seats.wire import decode_message, encode_message
 from ponddoor.store.committer import Committer
 from ponddoor.store.files import Disk
 from ponddoor.store.journal import Journal
@@ -77,10 +77,10 @@
         kept_seats = [seat for share in self.core.shares.values() for seat in share.seats]
         self.record_event("seats-kept", front=self.me, seats=kept_seats)
         self._committer = Committer(self._journal, self._on_durable, self._fail)
-        self._apply_effects(self.core.begin(now))
+        self._apply_effects(self.core.start(now))
         self._tick_task = asyncio.create_task(self._tick())
-        if self.core.silent_until > now:
-            log.warning("no-journal", wait_ms=(self.core.silent_until - now) // 1000)
+        if self.core.no_leases_until > now:
+            log.warning("no-journal", wait_ms=(self.core.no_leases_until - now) // 1000)
 
     async def take(self, key: Key, viewer: str, sess: str) -> Granted | Refused:
         """Takes a seat for a session, or returns the refusal."""
@@ -118,15 +118,15 @@
         """The signed token of a grant. It expires by the wall clock, in microseconds."""
         expires_us = wall_clock_us() + grant.expires - self.clock()
         token = Token(*grant.key, grant.viewer, grant.sess, grant.seat, grant.generation, self.me, expires_us)
-        return made(token, self.key)
+        return encode_token(token, self.key)
 
     def handle_payload(self, peer: int, payload: bytes) -> bool:
         """Handles a payload from another front. Returns False if it is not a message about seats."""
-        message = unpack(payload)
+        message = decode_message(payload)
         if message is None:
             return False
         if not self._failed:
-            self._apply_effects(self.core.heard(self.clock(), peer, message))
+            self._apply_effects(self.core.receive(self.clock(), peer, message))
         return True
 
     def set_limits(self, limits: dict[Key, int]) -> None:
@@ -136,8 +136,8 @@
     def entitlement_rows(self) -> list[dict[str, Any]]:
         """The state of each entitlement at this front, for GET /seats."""
         now, rows = self.clock(), []
-        for key in sorted(set(self.core.limits) | set(self.core.shares) | set(self.core.books)):
-            share, book = self.core.shares.get(key), self.core.books.get(key)
+        for key in sorted(set(self.core.limits) | set(self.core.shares) | set(self.core.lease_tables)):
+            share, table = self.core.shares.get(key), self.core.lease_tables.get(key)
             rows.append(
                 {
                     "tenant": key[0],
@@ -145,9 +145,9 @@
                     "limit": self.core.limits.get(key, 0),
                     "held": len(share.seats) if share else 0,
                     "share": share.count if share else 0,
-                    "share_ends_in_ms": max(0, share.until - now) // 1000 if share else 0,
+                    "share_ends_in_ms": max(0, share.expires - now) // 1000 if share else 0,
                     "waiting": len(share.waiting) if share else 0,
-                    "lent": {str(peer): lent.count for peer, lent in book.lent.items()} if book else {},
+                    "lent": {str(peer): lent.count for peer, lent in table.leases.items()} if table else {},
                 }
             )
         return rows
@@ -197,12 +197,12 @@
 
     def _send_message(self, peer: int, message: Message) -> None:
         try:
-            self.send(peer, pack(message))
+            self.send(peer, encode_message(message))
         except OSError:
             self.lost_messages += 1
 
     def _on_durable(self, number: int) -> None:
-        self._apply_effects(self.core.durable(self.clock(), number - self._records_at_start))
+        self._apply_effects(self.core.on_durable(self.clock(), number - self._records_at_start))
         if (
             self._records_since_snapshot >= SNAPSHOT_AFTER_RECORDS
             and self._journal.durable == self._journal.next_number - 1
--- a/ponddoor/front/viewers.py
+++ b/ponddoor/front/viewers.py
@@ -18,7 +18,7 @@
 from ponddoor.front.taking import Terms
 from ponddoor.hints import cmsd
 from ponddoor.seats.core import Granted, Key, Refused
-from ponddoor.seats.tokens import Token, TokenError, opened
+from ponddoor.seats.tokens import Token, TokenError, decode_token
 from ponddoor.web.server import HttpError, Reply, Request, decode_json_body
 from ponddoor.web.timing import within
 
@@ -201,7 +201,7 @@
             seat_result = await self._take_seat(body, sess)
             if isinstance(seat_result, Refused):
                 return self._reply(
-                    "", Answer("busy", come_back=seat_result.come_back, reason=seat_result.why)
+                    "", Answer("busy", come_back=seat_result.retry_after, reason=seat_result.reason)
                 )
             granted = seat_result
             if self.terms is not terms:
@@ -304,9 +304,9 @@
 
     def _verified_token(self, text: str) -> Token:
         try:
-            token = opened(text, self._seating().key)
+            token = decode_token(text, self._seating().key)
         except TokenError as error:
-            raise HttpError(403, error.why, "the token is not to be trusted") from None
+            raise HttpError(403, error.code, "the token is not to be trusted") from None
         if token.front != self._seating().me:
             fronts = self.terms.site.fronts
             address = fronts[token.front].viewers if token.front < len(fronts) else None
@@ -323,10 +323,10 @@
             "expired": 410,
             "superseded": 409,
             "never-given": 409,
-        }.get(result.why, 503)
-        seconds = max(1, math.ceil(result.come_back / SECOND))
+        }.get(result.reason, 503)
+        seconds = max(1, math.ceil(result.retry_after / SECOND))
         headers = (("Retry-After", str(seconds)),) if status == 503 else ()
-        return HttpError(status, result.why, "no seat", headers)
+        return HttpError(status, result.reason, "no seat", headers)
 
     async def _renew(self, body: SeatAsk) -> Reply:
         result = await self._seating().renew(self._verified_token(body.token), body.viewer)
--- a/tests/front/test_seating.py
+++ b/tests/front/test_seating.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from ponddoor.seats.core import Refused
-from ponddoor.seats.tokens import Token, made
+from ponddoor.seats.tokens import Token, encode_token
 from ponddoor.standins.media import Fault
 from ponddoor.web.client import Response
 from ponddoor.web.timing import within
@@ -27,7 +27,7 @@
     A front without a journal otherwise grants none until all seats that it may have granted have expired."""
     for front in world.fronts:
         assert front.seating is not None
-        front.seating.core.silent_until = 0
+        front.seating.core.no_leases_until = 0
 
 
 async def request_with_seat(world: World, viewer: str, me: int = 0, **body: Any) -> Response:
@@ -98,7 +98,7 @@
         assert (await renew(newest, "thief")).status == 403
         assert (await renew(str(newest)[:-2])).status == 403
         forged = Token("", "film", "a", "s", "x", 1, 0, 0)
-        assert (await renew(made(forged, bytes(32)))).json()["error"] == "forged-token"
+        assert (await renew(encode_token(forged, bytes(32)))).json()["error"] == "forged-token"
         redirect = await renew(newest, me=1)
         assert redirect.status == 307 and str(world.front_ports[0]) in redirect.headers["location"]
 
@@ -204,7 +204,7 @@
         await seating.close()
         [key] = seating.core.limits
         result = await within(5, seating.take(key, "a", "1"))
-        assert isinstance(result, Refused) and result.why == "front-stopped"
+        assert isinstance(result, Refused) and result.reason == "front-stopped"
 
     in_world(live, audited=False, kept=tmp_path / "k", seats=seats(1))
 
@@ -221,6 +221,6 @@
             await asyncio.sleep(0.001)
         [key] = seating.core.limits
         result = await within(5, seating.take(key, "a", "1"))
-        assert isinstance(result, Refused) and result.why == "faulted"
+        assert isinstance(result, Refused) and result.reason == "faulted"
 
     in_world(live, audited=False, kept=tmp_path / "k", seats=seats(1))
