--- a/ponddoor/node/connection_refresh.py
+++ b/ponddoor/node/connection_refresh.py
@@ -106,7 +106,7 @@
         self.link.servers.extra_connections[candidate] = None
         doubted_ms = None if doubted_from is None else (now - doubted_from) // 1000
         self.link.log_connection("connection-opened", candidate, beside=True, doubted_ms=doubted_ms)
-        proven = self.completeness.came_up(now, candidate.opened_at, self.link.lease.proven_at or 0)
+        proven = self.completeness.came_up(now, candidate.opened_at, self.link.lease.last_message_at or 0)
         if proven and not self._sign_wanted:
             self._promote(now, candidate)
         else:
@@ -116,7 +116,7 @@
         """The candidate could not be opened, or ended before it proved anything."""
         self.link.servers.count("refreshes-failed")
         self.link.log_connection("refresh-failed", connection, why=reason)
-        self.completeness.refresh_failed(clock(), connection.opened_at, self.link.lease.proven_at or 0)
+        self.completeness.refresh_failed(clock(), connection.opened_at, self.link.lease.last_message_at or 0)
 
     def message_received(self, now: int, connection: ServerConnection, silent_for: int) -> None:
         """A message was received on any connection to the server, after `silent_for` microseconds without."""
@@ -220,7 +220,7 @@
     def _has_timed_out(self, now: int, candidate: ServerConnection) -> bool:
         """Whether the candidate has had no message in its time, which is shorter if the server has sent
         messages on another connection meanwhile."""
-        last_message_at = self.link.lease.proven_at or 0
+        last_message_at = self.link.lease.last_message_at or 0
         heard_elsewhere = candidate.established_at is not None and last_message_at > candidate.established_at
         return candidate.age(now) > (PROOF_WITHIN if heard_elsewhere else CANDIDATE_TIMEOUT_US)
 
--- a/ponddoor/node/server_link.py
+++ b/ponddoor/node/server_link.py
@@ -25,7 +25,7 @@
 from ponddoor.node.server_connection import ServerConnection
 from ponddoor.node.server_messages import MessageOwner, Outgoing, ServerMessages
 from ponddoor.obligations.completeness import Completeness
-from ponddoor.obligations.lease import Due, Lease, Sign
+from ponddoor.obligations.lease import Lease, LeaseAction, LeaseEvent
 from ponddoor.web.connecting import connect_within
 from ponddoor.web.unread import has_unread
 
@@ -226,7 +226,7 @@
 
     def request_sign_of_life(self, connection: ServerConnection) -> None:
         """Send a probe that any live server answers, without a load report."""
-        self.lease.asked(clock())
+        self.lease.sign_requested(clock())
         self.servers.count("sign-asked")
         connection.write(codec.encode_probe(self.servers.new_id(), False))
 
@@ -283,14 +283,14 @@
         self.backoff.failed(now)
         if isinstance(problem, ConnectionRefusedError):
             self.servers.count("connect-refused")
-            self.lease.refused(now)
+            self.lease.connect_refused(now)
             self.pending_releases.clear()
             self.queued = [item for item in self.queued if not isinstance(item, fx.SendTeardown)]
             self.servers.end_sessions(self, "refused")
         else:
             failure = "late" if isinstance(problem, TimeoutError) else "failed"
             self.servers.count(f"connect-{failure}")
-            self.lease.note(now, Sign.BROKEN, f"connect {failure}")
+            self.lease.record_event(now, LeaseEvent.BROKEN, f"connect {failure}")
         self._fail_queued(ev.Result.CONNECT_FAILED)
 
     def _fail_queued(self, result: ev.Result) -> None:
@@ -328,9 +328,9 @@
 
     def message_received(self, now: int, connection: ServerConnection) -> None:
         """Renew the lease, and note what the message proves about missed messages."""
-        silent_for = now - (self.lease.proven_at or now)
+        silent_for = now - (self.lease.last_message_at or now)
         connection.received_message = True
-        self.lease.heard(now)
+        self.lease.message_received(now)
         if connection.was_useful(now):
             self.backoff.succeeded()
         self.refresh.message_received(now, connection, silent_for)
@@ -338,7 +338,7 @@
     def request_timed_out(self, now: int, since: int) -> None:
         """A message sent at `since` had no answer in its time. If nothing was received since then, earlier
         messages of the server may be lost too."""
-        last_message_at = self.lease.proven_at or 0
+        last_message_at = self.lease.last_message_at or 0
         if last_message_at <= since:
             self.refresh.completeness.doubt(now, last_message_at)
 
@@ -347,7 +347,7 @@
         if self.connection is connection:
             self.servers.count("spoilt")
             self._back_off_after_protocol_error(connection)
-            self.lease.note(clock(), Sign.NO_MESSAGE, reason[:80])
+            self.lease.record_event(clock(), LeaseEvent.MALFORMED_INPUT, reason[:80])
             self._end_connection(connection, f"protocol error: {reason}")
         else:
             self.refresh.connection_ended(connection, f"protocol error: {reason}")
@@ -392,7 +392,7 @@
         self.connection = None
         self.servers.open_links.pop(self, None)
         self.servers.count("connection-ended")
-        self.lease.note(now, Sign.BROKEN, reason[:80])
+        self.lease.record_event(now, LeaseEvent.BROKEN, reason[:80])
         probes = self.messages.take_pending_probes()
         unconfirmed = connection.unconfirmed_releases(now, self.refresh.completeness.doubted_from)
         for sess in unconfirmed:
@@ -442,23 +442,23 @@
     def _check_lease(self, now: int, plays: bool) -> None:
         connection = self.connection
         if not plays and not self.has_setups:
-            self.lease.unused(now)
+            self.lease.mark_unused(now)
             return
-        due = self.lease.look(now, connection is not None)
+        due = self.lease.check(now, connection is not None)
         # This process may have been paused: received data that it has not read yet is read first
         unread = connection is not None and has_unread(connection.transport)
-        if due is Due.ASK and connection is not None and not unread:
+        if due is LeaseAction.REQUEST_SIGN and connection is not None and not unread:
             if self.refresh.begin(now, sign_wanted=True):
-                self.lease.asked(now)  # the request is sent when the new connection is open
+                self.lease.sign_requested(now)  # the request is sent when the new connection is open
             else:
                 self.request_sign_of_life(connection)
-        elif due is Due.GIVE_UP and not (unread and now <= self.lease.expires_at + UNREAD_GRACE_US):
+        elif due is LeaseAction.GIVE_UP and not (unread and now <= self.lease.expires_at + UNREAD_GRACE_US):
             self.give_up(now, "silent")
 
     def _check_connection(self, connection: ServerConnection, now: int, plays: bool, idle: int) -> None:
         if connection.partial_since is not None and now - connection.partial_since > PARTIAL_LINE_TIMEOUT_US:
             self.servers.count("partial-line")
-            self.lease.note(now, Sign.NO_MESSAGE, "partial line")
+            self.lease.record_event(now, LeaseEvent.MALFORMED_INPUT, "partial line")
             self.connection_failed(connection, "partial line")
         elif (
             not plays and not self.has_setups and not self.messages.probes and now - self.last_used_at > idle
--- a/ponddoor/node/servers.py
+++ b/ponddoor/node/servers.py
@@ -228,7 +228,7 @@
             why=reason,
             sessions=len(lost),
             ids=[held.sess for held in lost[:MAX_IDS_LOGGED]],
-            signs=link.lease.chain(clock()),
+            signs=link.lease.describe_events(clock()),
         )
         self._ending_sessions[link.number] = deque((held.sess, held.attempt) for held in lost)
         if not self._ending_scheduled:
@@ -319,7 +319,7 @@
             elif number in self._ending_sessions:
                 continue  # its sessions are being ended
             elif link is not None and link.lease.is_overdue(now, LEASE_OVERDUE_AFTER_US):
-                self._report_overdue(number, "lease over", tuple(link.lease.chain(now)))
+                self._report_overdue(number, "lease over", tuple(link.lease.describe_events(now)))
                 link.give_up(now, "overdue")
 
     def _report_overdue(self, number: int, reason: str, signs: tuple[str, ...]) -> None:
@@ -332,7 +332,7 @@
         for number in self.engine.servers_in_use():
             if (link := self.links.get(number)) is not None:
                 counts[link.lease.state.value] = counts.get(link.lease.state.value, 0) + 1
-                oldest = max(oldest, now - (link.lease.proven_at or now))
+                oldest = max(oldest, now - (link.lease.last_message_at or now))
         return counts | {"oldest_proof_ms": oldest // 1000}
 
     async def close(self, until: int) -> None:
--- a/ponddoor/obligations/completeness.py
+++ b/ponddoor/obligations/completeness.py
@@ -27,11 +27,11 @@
 
 from dataclasses import dataclass
 
-from ponddoor.obligations.lease import RELEASE_LIMIT, SECOND, SILENT_LIMIT, STOOD_FOR
+from ponddoor.obligations.lease import LEASE_DURATION_US, PAUSE_THRESHOLD_US, RELEASE_LIMIT_US, SECOND
 
 PROOF_WITHIN = SECOND // 2  # of its opening a sound connection carries an answer
 PROMPT = SECOND // 10
-REFRESH_AFTER = RELEASE_LIMIT - 2 * SECOND  # leaves three refreshes and the release
+REFRESH_AFTER = RELEASE_LIMIT_US - 2 * SECOND  # leaves three refreshes and the release
 REFRESH_WITH_MESSAGE_AFTER = REFRESH_AFTER // 2  # a message that came anyway saves a sign of life
 RETRY_AFTER = SECOND // 2
 SILENCE = SECOND  # after which a message says that a server speaks again
@@ -97,8 +97,8 @@
     def looks(self, now: int) -> None:
         """Called with each look, so that it is known whether this process stood."""
         last, self._looked_at = self._looked_at, now
-        if last is not None and now - last > STOOD_FOR:
-            self._excused_until = now + RELEASE_LIMIT - REFRESH_AFTER
+        if last is not None and now - last > PAUSE_THRESHOLD_US:
+            self._excused_until = now + RELEASE_LIMIT_US - REFRESH_AFTER
 
     def refresh_due(self, now: int, standing_since: int | None) -> bool:
         """Whether a refresh is to begin; the session that stands longest does so since `standing_since`."""
@@ -124,5 +124,5 @@
 
     def over_if_standing_since(self, now: int) -> int | None:
         """Sessions that have stood since then or longer are over: what they may have missed is overdue."""
-        overdue = self.doubted_from is not None and now > self.doubted_from + SILENT_LIMIT
-        return now - SILENT_LIMIT if overdue and now >= self._excused_until else None
+        overdue = self.doubted_from is not None and now > self.doubted_from + LEASE_DURATION_US
+        return now - LEASE_DURATION_US if overdue and now >= self._excused_until else None
--- a/tests/node/conftest.py
+++ b/tests/node/conftest.py
@@ -35,8 +35,8 @@
 CLOSE_TIMEOUT_US = 50_000
 PATCHED_LIMITS = {
     "board_silence_timeout_s": (node_board, "SILENCE_TIMEOUT_S"),
-    "lease_us": (lease, "SILENT_LIMIT"),
-    "sign_of_life_after_us": (lease, "SIGN_OF_LIFE_AFTER"),
+    "lease_us": (lease, "LEASE_DURATION_US"),
+    "sign_of_life_after_us": (lease, "SIGN_OF_LIFE_AFTER_US"),
     "address_reuse_timeout_us": (node_server_link, "ADDRESS_REUSE_TIMEOUT_US"),
     "silent_connection_timeout_us": (node_viewers, "SILENT_CONNECTION_TIMEOUT_US"),
     "partial_message_timeout_us": (node_viewers, "PARTIAL_MESSAGE_TIMEOUT_US"),
--- a/tests/node/test_crossings.py
+++ b/tests/node/test_crossings.py
@@ -36,7 +36,7 @@
 from ponddoor.node import viewers as node_viewers
 from ponddoor.node import words as node_words
 from ponddoor.node.server_connection import ServerConnection
-from ponddoor.obligations.lease import Sign
+from ponddoor.obligations.lease import LeaseEvent
 from ponddoor.web import connecting
 from ponddoor.web.connecting import connect_within
 from ponddoor.web.timing import within
@@ -977,10 +977,12 @@
         assert held is not None
         link = harness.node.servers.links[held.server]
         link.lease.connect_timeout = connect_timeout
-        link.lease.heard(heard_at := clock())
+        link.lease.message_received(heard_at := clock())
         for elapsed, expected in ((due_after - 10_000, False), (due_after + 10_000, True)):
             link.tick(heard_at + elapsed, 60_000_000)
-            assert any(sign is Sign.ASKED for _, sign, _ in link.lease.signs) is expected, elapsed
+            assert any(sign is LeaseEvent.SIGN_REQUESTED for _, sign, _ in link.lease.events) is expected, (
+                elapsed
+            )
 
     run_steps(harness, steps)
 
--- a/tests/node/test_work_per_turn.py
+++ b/tests/node/test_work_per_turn.py
@@ -12,7 +12,7 @@
 from ponddoor.front.pump import Pump, clock
 from ponddoor.front.roster import Entry, ListMessage, Roster
 from ponddoor.node.servers import MAX_NEEDED_OVER_LIMIT, MAX_SESSIONS_ENDED_PER_TURN, Servers
-from ponddoor.obligations.lease import SILENT_LIMIT
+from ponddoor.obligations.lease import LEASE_DURATION_US
 from ponddoor.settings.site import loads
 from tests.front.conftest import site_text
 from tests.many_servers.harness import SECOND, FrontHarness, lines_run_by, make_facts
@@ -70,10 +70,10 @@
                 )
             )
             server_side.servers.mark_used(server_side.servers.links[server])
-        for elapsed in range(0, SILENT_LIMIT + SECOND // 4, SECOND // 4):
+        for elapsed in range(0, LEASE_DURATION_US + SECOND // 4, SECOND // 4):
             server_side.servers.tick(started_at + elapsed, 60 * SECOND)
         assert engine.sessions_held == sessions
-        server_side.servers.tick(started_at + SILENT_LIMIT + SECOND // 2, 60 * SECOND)
+        server_side.servers.tick(started_at + LEASE_DURATION_US + SECOND // 2, 60 * SECOND)
         assert engine.sessions_held >= sessions - MAX_SESSIONS_ENDED_PER_TURN
         while engine.sessions_held:
             held_before = engine.sessions_held
--- a/tests/obligations/completeness_schedules.py
+++ b/tests/obligations/completeness_schedules.py
@@ -9,7 +9,7 @@
 
 from ponddoor.node.connection_refresh import CANDIDATE_TIMEOUT_US
 from ponddoor.obligations.completeness import PROOF_WITHIN, Completeness
-from ponddoor.obligations.lease import SECOND, Due, Lease
+from ponddoor.obligations.lease import SECOND, Lease, LeaseAction
 
 LOOK = SECOND // 4
 TICK = SECOND // 20
@@ -120,8 +120,8 @@
                 self.setup_out_since = None
             elif self.now - out >= SECOND // 2:
                 self.setup_out_since = None
-                if (self.lease.proven_at or 0) <= out:
-                    self.completeness.doubt(self.now, self.lease.proven_at or 0)
+                if (self.lease.last_message_at or 0) <= out:
+                    self.completeness.doubt(self.now, self.lease.last_message_at or 0)
         elif self.busy and self.now >= self.next_setup:
             self.setup_out_since, self.next_setup = self.now, self.now + TRAFFIC
 
@@ -142,8 +142,8 @@
 
     def _message(self, connection: Connection) -> None:
         on_refresh = connection is self.candidate
-        silent_for = self.now - (self.lease.proven_at or self.now)
-        self.lease.heard(self.now)
+        silent_for = self.now - (self.lease.last_message_at or self.now)
+        self.lease.message_received(self.now)
         if on_refresh:
             self.connection, self.candidate, self.setup_out_since = connection, None, None
         if silent_for > SECOND:
@@ -159,7 +159,7 @@
 
     def _look(self) -> None:
         self.completeness.looks(self.now)
-        heard_at = self.lease.proven_at or 0
+        heard_at = self.lease.last_message_at or 0
         candidate = self.candidate
         if candidate is not None:
             limit = PROOF_WITHIN if heard_at > candidate.opened_at else CANDIDATE_TIMEOUT_US
@@ -168,16 +168,16 @@
                 self.completeness.refresh_failed(self.now, candidate.opened_at, heard_at)
         if self.candidate is None and self.completeness.refresh_due(self.now, START):
             self._refresh()
-        due = self.lease.look(self.now, True)
+        due = self.lease.check(self.now, True)
         over_since = self.completeness.over_if_standing_since(self.now)
-        if due is Due.GIVE_UP or (over_since is not None and over_since >= START):
+        if due is LeaseAction.GIVE_UP or (over_since is not None and over_since >= START):
             self._give_up()
-        elif due is Due.ASK:
+        elif due is LeaseAction.REQUEST_SIGN:
             if self.candidate is None:
                 self._refresh()
             else:
                 self.asked_answer_at = self.now + ANSWERED_AFTER
-            self.lease.asked(self.now)
+            self.lease.sign_requested(self.now)
 
     def _refresh(self) -> None:
         self.completeness.refresh_began(self.now)
@@ -193,7 +193,7 @@
             self.wrong = Wrong.CUT_IN_A_PAUSE
         self.owed.clear()
         self.completeness.unused(self.now)
-        self.lease.unused(self.now)
+        self.lease.mark_unused(self.now)
 
 
 def verdict(
@@ -202,7 +202,7 @@
     """What is wrong with how the two proofs took a schedule."""
     played = Played(make(), Lease(connect_timeout))
     played.lease.grant(START)
-    played.lease.heard(START)
+    played.lease.message_received(START)
     played.completeness.unused(START)
     for step in schedule:
         if played.wrong is None:
--- a/tests/obligations/lease_schedules.py
+++ b/tests/obligations/lease_schedules.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from ponddoor.obligations.lease import SECOND, Due, Lease, Sign
+from ponddoor.obligations.lease import SECOND, Lease, LeaseAction, LeaseEvent
 
 LOOK = SECOND // 4
 REOPENED_AFTER = SECOND // 2
@@ -67,7 +67,7 @@
                     self._reset()
                     self.run(REOPENED_AFTER + 1)
             case Step.BYTES if self.connected:
-                self.lease.note(self.now, Sign.NO_MESSAGE)
+                self.lease.record_event(self.now, LeaseEvent.MALFORMED_INPUT)
             case Step.MESSAGE if self.connected and self.speaks:
                 self._message()
             case Step.MUTE if self.speaks:
@@ -96,10 +96,10 @@
             self._look()
 
     def _look(self) -> None:
-        due = self.lease.look(self.now, self.connected)
-        if due is Due.ASK:
+        due = self.lease.check(self.now, self.connected)
+        if due is LeaseAction.REQUEST_SIGN:
             self._ask()
-        elif due is Due.GIVE_UP:
+        elif due is LeaseAction.GIVE_UP:
             self.given_up_at = self.now
 
     def _changed(self) -> None:
@@ -114,7 +114,7 @@
             self.connected, self.answer_at = False, None
             self._changed()
             self.reopen_at = self.now + REOPENED_AFTER
-            self.lease.note(self.now, Sign.BROKEN)
+            self.lease.record_event(self.now, LeaseEvent.BROKEN)
 
     def _connect(self) -> None:
         self.connected = True
@@ -123,11 +123,11 @@
             self._ask()
 
     def _ask(self) -> None:
-        self.lease.asked(self.now)
+        self.lease.sign_requested(self.now)
         self.answer_at = self.now + ANSWERED_AFTER
 
     def _message(self) -> None:
-        self.lease.heard(self.now)
+        self.lease.message_received(self.now)
         self.proven_at = self.now
 
 
--- a/tests/obligations/test_completeness.py
+++ b/tests/obligations/test_completeness.py
@@ -7,7 +7,7 @@
 import pytest
 
 from ponddoor.obligations.completeness import PROMPT, REFRESH_AFTER, Completeness
-from ponddoor.obligations.lease import SECOND, SILENT_LIMIT
+from ponddoor.obligations.lease import LEASE_DURATION_US, SECOND
 from tests.obligations.completeness_schedules import Step, Wrong, verdict
 
 CONNECT_TIMEOUT = SECOND // 4
@@ -136,9 +136,9 @@
 def test_what_is_doubted_is_over_by_the_limit_of_the_lease_unless_this_process_stood() -> None:
     held = Completeness()
     held.doubt(2 * SECOND, SECOND)
-    at = SECOND + SILENT_LIMIT
+    at = SECOND + LEASE_DURATION_US
     assert held.over_if_standing_since(at) is None
-    assert held.over_if_standing_since(at + 1) == at + 1 - SILENT_LIMIT
+    assert held.over_if_standing_since(at + 1) == at + 1 - LEASE_DURATION_US
     held.looks(2 * SECOND)
     held.looks(at + 1)
     assert held.over_if_standing_since(at + 1) is None
--- a/tests/obligations/test_lease.py
+++ b/tests/obligations/test_lease.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from ponddoor.obligations.lease import SECOND, SILENT_LIMIT, Due, Lease, LeaseState, Sign
+from ponddoor.obligations.lease import LEASE_DURATION_US, SECOND, Lease, LeaseAction, LeaseEvent, LeaseState
 from tests.obligations.lease_schedules import RELEASED_WITHIN, Step, Wrong, verdict
 
 CONNECT_TIMEOUT = SECOND // 4
@@ -29,9 +29,9 @@
 
 
 class RenewsOnBytes(Lease):
-    def note(self, now: int, sign: Sign, detail: str = "") -> None:
-        super().note(now, sign, detail)
-        if sign is Sign.NO_MESSAGE:
+    def record_event(self, now: int, sign: LeaseEvent, detail: str = "") -> None:
+        super().record_event(now, sign, detail)
+        if sign is LeaseEvent.MALFORMED_INPUT:
             self._renew(now)
 
 
@@ -49,24 +49,24 @@
 
 class ExcusesEachLook(Lease):
     def _excuse(self, now: int) -> None:
-        self.expires_at = max(self.expires_at, now + SILENT_LIMIT - self.quiet_limit)
+        self.expires_at = max(self.expires_at, now + LEASE_DURATION_US - self.quiet_limit)
 
 
 class RenewsOnAsking(Lease):
-    def asked(self, now: int) -> None:
-        super().asked(now)
-        self.expires_at = now + SILENT_LIMIT
+    def sign_requested(self, now: int) -> None:
+        super().sign_requested(now)
+        self.expires_at = now + LEASE_DURATION_US
 
 
 class IgnoresMessages(Lease):
-    def heard(self, now: int) -> None:
-        self.proven_at = now
+    def message_received(self, now: int) -> None:
+        self.last_message_at = now
 
 
 class GivesUpOnReset(Lease):
-    def note(self, now: int, sign: Sign, detail: str = "") -> None:
-        super().note(now, sign, detail)
-        if sign is Sign.BROKEN:
+    def record_event(self, now: int, sign: LeaseEvent, detail: str = "") -> None:
+        super().record_event(now, sign, detail)
+        if sign is LeaseEvent.BROKEN:
             self.expires_at = now
 
 
@@ -118,23 +118,26 @@
 def test_a_refused_connect_ends_the_lease_at_once() -> None:
     held = lease()
     held.grant(0)
-    held.refused(SECOND)
-    assert held.state is LeaseState.DEAD and held.look(SECOND + 1, False) is Due.GIVE_UP
+    held.connect_refused(SECOND)
+    assert held.state is LeaseState.DEAD and held.check(SECOND + 1, False) is LeaseAction.GIVE_UP
 
 
 def test_a_lease_on_which_nothing_depended_for_long_begins_anew() -> None:
     held = lease()
-    held.heard(0)
-    held.unused(SECOND)
-    assert held.look(100 * SECOND, True) is Due.NOTHING
-    assert held.look(100 * SECOND + SILENT_LIMIT, True) is not Due.GIVE_UP
+    held.message_received(0)
+    held.mark_unused(SECOND)
+    assert held.check(100 * SECOND, True) is LeaseAction.NOTHING
+    assert held.check(100 * SECOND + LEASE_DURATION_US, True) is not LeaseAction.GIVE_UP
 
 
 def test_the_chain_of_signs_is_bounded_and_tells_ages() -> None:
     held = lease()
     for number in range(100):
-        held.note(number * SECOND, Sign.BROKEN, "reset")
-    assert held.chain(100 * SECOND)[-1] == "1000 ms ago broken reset" and len(held.chain(0)) < 20
+        held.record_event(number * SECOND, LeaseEvent.BROKEN, "reset")
+    assert (
+        held.describe_events(100 * SECOND)[-1] == "1000 ms ago broken reset"
+        and len(held.describe_events(0)) < 20
+    )
 
 
 class LeaseMachine(RuleBasedStateMachine):
@@ -148,34 +151,34 @@
 
     @rule()
     def message(self) -> None:
-        self.lease.heard(self.now)
+        self.lease.message_received(self.now)
         self.renewed_at, self.given_up = self.now, False
 
     @rule()
     def accepted(self) -> None:
         if not self.given_up and self.lease.connected(self.now):
-            self.lease.asked(self.now)
+            self.lease.sign_requested(self.now)
 
-    @rule(sign=st.sampled_from((Sign.BROKEN, Sign.NO_MESSAGE)))
-    def ended_or_bytes(self, sign: Sign) -> None:
-        self.lease.note(self.now, sign)
+    @rule(sign=st.sampled_from((LeaseEvent.BROKEN, LeaseEvent.MALFORMED_INPUT)))
+    def ended_or_bytes(self, sign: LeaseEvent) -> None:
+        self.lease.record_event(self.now, sign)
 
     @precondition(lambda self: not self.given_up)
     @rule(wait=st.integers(1, SECOND), connected=st.booleans())
-    def look(self, wait: int, connected: bool) -> None:
+    def check(self, wait: int, connected: bool) -> None:
         self.now += wait
-        due = self.lease.look(self.now, connected)
-        self.given_up = due is Due.GIVE_UP
-        assert self.given_up == (self.now > self.renewed_at + SILENT_LIMIT)
-        if due is Due.ASK:
+        due = self.lease.check(self.now, connected)
+        self.given_up = due is LeaseAction.GIVE_UP
+        assert self.given_up == (self.now > self.renewed_at + LEASE_DURATION_US)
+        if due is LeaseAction.REQUEST_SIGN:
             assert connected
-            self.lease.asked(self.now)
+            self.lease.sign_requested(self.now)
 
     @invariant()
     def is_overdue_only_past_the_limit(self) -> None:
         if self.lease.is_overdue(self.now, 0):
-            assert self.now > self.renewed_at + SILENT_LIMIT
-        assert SILENT_LIMIT <= RELEASED_WITHIN
+            assert self.now > self.renewed_at + LEASE_DURATION_US
+        assert LEASE_DURATION_US <= RELEASED_WITHIN
 
 
 TestLeaseMachine = LeaseMachine.TestCase
--- a/tests/soak/mutants.py
+++ b/tests/soak/mutants.py
@@ -14,7 +14,7 @@
 from ponddoor.node.viewers import Viewers
 from ponddoor.obligations.completeness import Completeness
 from ponddoor.obligations.drain import DrainSchedule
-from ponddoor.obligations.lease import Lease, Sign
+from ponddoor.obligations.lease import Lease, LeaseEvent
 from ponddoor.obligations.sessions import ConnectionEnd, Sessions
 from ponddoor.platform import facts
 
@@ -133,7 +133,7 @@
     connected = Lease.connected
 
     def renewing(self: Any, now: int) -> bool:
-        self.heard(now)
+        self.message_received(now)
         return connected(self, now)
 
     Lease.connected = renewing  # type: ignore[method-assign]
@@ -142,14 +142,14 @@
 
 def rubbish_renews_sessions() -> None:
     """Bytes that are no message are taken for such a proof."""
-    note = Lease.note
+    record_event = Lease.record_event
 
-    def renewing(self: Any, now: int, sign: Sign, detail: str = "") -> None:
-        note(self, now, sign, detail)
-        if sign is Sign.NO_MESSAGE:
-            self.heard(now)
+    def renewing(self: Any, now: int, sign: LeaseEvent, detail: str = "") -> None:
+        record_event(self, now, sign, detail)
+        if sign is LeaseEvent.MALFORMED_INPUT:
+            self.message_received(now)
 
-    Lease.note = renewing  # type: ignore[method-assign]
+    Lease.record_event = renewing  # type: ignore[method-assign]
 
 
 def never_connects_anew() -> None:
