--- a/ponddoor/node/connection_refresh.py
+++ b/ponddoor/node/connection_refresh.py
@@ -10,7 +10,7 @@
 from ponddoor.front.engine import Engine
 from ponddoor.front.pump import SECOND, clock
 from ponddoor.node.server_connection import ServerConnection
-from ponddoor.obligations.completeness import PROOF_WITHIN, SILENCE, Completeness
+from ponddoor.obligations.completeness import PROOF_TIMEOUT_US, SILENCE_THRESHOLD_US, Completeness
 from ponddoor.obligations.lease import Lease
 from ponddoor.web.unread import has_unread
 
@@ -106,7 +106,9 @@
         self.link.servers.extra_connections[candidate] = None
         doubted_ms = None if doubted_from is None else (now - doubted_from) // 1000
         self.link.log_connection("connection-opened", candidate, beside=True, doubted_ms=doubted_ms)
-        proven = self.completeness.came_up(now, candidate.opened_at, self.link.lease.last_message_at or 0)
+        proven = self.completeness.candidate_opened(
+            now, candidate.opened_at, self.link.lease.last_message_at or 0
+        )
         if proven and not self._sign_wanted:
             self._promote(now, candidate)
         else:
@@ -123,11 +125,11 @@
         on_refresh = connection is self.candidate
         if on_refresh:
             self._promote(now, connection)
-        if silent_for > SILENCE:
-            self.completeness.speaks_again(now)
-        self.completeness.answered(now, connection.opened_at, connection.age(now), on_refresh)
+        if silent_for > SILENCE_THRESHOLD_US:
+            self.completeness.silence_ended(now)
+        self.completeness.message_received(now, connection.opened_at, connection.age(now), on_refresh)
         standing_since = self.link.servers.engine.standing_since(self.link.number)
-        if self.completeness.refresh_due_with_message(now, standing_since):
+        if self.completeness.refresh_due_on_message(now, standing_since):
             self.begin(now)
 
     def _promote(self, now: int, candidate: ServerConnection) -> None:
@@ -202,9 +204,9 @@
         """Check what depends on time; `in_use` is whether sessions or SETUPs depend on the server."""
         self._check_retiring(now)
         if not in_use:
-            self.completeness.unused(now)
+            self.completeness.mark_unused(now)
             return
-        self.completeness.looks(now)
+        self.completeness.record_check(now)
         candidate = self.candidate
         if candidate is not None and self._has_timed_out(now, candidate):
             if has_unread(candidate.transport):
@@ -213,7 +215,7 @@
         standing_since = self.link.servers.engine.standing_since(self.link.number)
         if self.completeness.refresh_due(now, standing_since):
             self.begin(now)
-        over_since = self.completeness.over_if_standing_since(now)
+        over_since = self.completeness.expiry_cutoff(now)
         if over_since is not None and standing_since is not None and standing_since <= over_since:
             self.link.end_unproven_sessions(now, over_since)
 
@@ -222,7 +224,7 @@
         messages on another connection meanwhile."""
         last_message_at = self.link.lease.last_message_at or 0
         heard_elsewhere = candidate.established_at is not None and last_message_at > candidate.established_at
-        return candidate.age(now) > (PROOF_WITHIN if heard_elsewhere else CANDIDATE_TIMEOUT_US)
+        return candidate.age(now) > (PROOF_TIMEOUT_US if heard_elsewhere else CANDIDATE_TIMEOUT_US)
 
     def _check_retiring(self, now: int) -> None:
         """Close retiring connections without unanswered SETUPs. A connect timeout after their replacement,
--- a/tests/obligations/completeness_schedules.py
+++ b/tests/obligations/completeness_schedules.py
@@ -8,7 +8,7 @@
 from enum import Enum
 
 from ponddoor.node.connection_refresh import CANDIDATE_TIMEOUT_US
-from ponddoor.obligations.completeness import PROOF_WITHIN, Completeness
+from ponddoor.obligations.completeness import PROOF_TIMEOUT_US, Completeness
 from ponddoor.obligations.lease import SECOND, Lease, LeaseAction
 
 LOOK = SECOND // 4
@@ -147,29 +147,29 @@
         if on_refresh:
             self.connection, self.candidate, self.setup_out_since = connection, None, None
         if silent_for > SECOND:
-            self.completeness.speaks_again(self.now)
+            self.completeness.silence_ended(self.now)
         age = self.now - connection.opened_at
-        self.completeness.answered(self.now, connection.opened_at, age, on_refresh)
-        if self.candidate is None and self.completeness.refresh_due_with_message(self.now, START):
+        self.completeness.message_received(self.now, connection.opened_at, age, on_refresh)
+        if self.candidate is None and self.completeness.refresh_due_on_message(self.now, START):
             self._refresh()
             opened = self.candidate
-            if opened is not None and self.completeness.came_up(self.now, self.now, self.now):
+            if opened is not None and self.completeness.candidate_opened(self.now, self.now, self.now):
                 opened.answer_at = None
                 self.connection, self.candidate, self.setup_out_since = opened, None, None
 
     def _look(self) -> None:
-        self.completeness.looks(self.now)
+        self.completeness.record_check(self.now)
         heard_at = self.lease.last_message_at or 0
         candidate = self.candidate
         if candidate is not None:
-            limit = PROOF_WITHIN if heard_at > candidate.opened_at else CANDIDATE_TIMEOUT_US
+            limit = PROOF_TIMEOUT_US if heard_at > candidate.opened_at else CANDIDATE_TIMEOUT_US
             if self.now - candidate.opened_at > limit:
                 self.candidate = None
                 self.completeness.refresh_failed(self.now, candidate.opened_at, heard_at)
         if self.candidate is None and self.completeness.refresh_due(self.now, START):
             self._refresh()
         due = self.lease.check(self.now, True)
-        over_since = self.completeness.over_if_standing_since(self.now)
+        over_since = self.completeness.expiry_cutoff(self.now)
         if due is LeaseAction.GIVE_UP or (over_since is not None and over_since >= START):
             self._give_up()
         elif due is LeaseAction.REQUEST_SIGN:
@@ -192,7 +192,7 @@
         elif not self.speaks and self.now - self.loss_since < MUTE_AT_LEAST:
             self.wrong = Wrong.CUT_IN_A_PAUSE
         self.owed.clear()
-        self.completeness.unused(self.now)
+        self.completeness.mark_unused(self.now)
         self.lease.mark_unused(self.now)
 
 
@@ -203,7 +203,7 @@
     played = Played(make(), Lease(connect_timeout))
     played.lease.grant(START)
     played.lease.message_received(START)
-    played.completeness.unused(START)
+    played.completeness.mark_unused(START)
     for step in schedule:
         if played.wrong is None:
             played.step(step)
--- a/tests/obligations/test_completeness.py
+++ b/tests/obligations/test_completeness.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from ponddoor.obligations.completeness import PROMPT, REFRESH_AFTER, Completeness
+from ponddoor.obligations.completeness import PROMPT_ANSWER_US, REFRESH_INTERVAL_US, Completeness
 from ponddoor.obligations.lease import LEASE_DURATION_US, SECOND
 from tests.obligations.completeness_schedules import Step, Wrong, verdict
 
@@ -23,7 +23,7 @@
 
 
 class AnyMessageProves(Completeness):
-    def answered(self, now: int, opened_at: int, age: int, on_refresh: bool) -> None:
+    def message_received(self, now: int, opened_at: int, age: int, on_refresh: bool) -> None:
         self._prove(now)
 
 
@@ -40,29 +40,29 @@
 
 class TriesOnce(Completeness):
     def refresh_began(self, now: int) -> None:
-        self._retry_at = now + REFRESH_AFTER
+        self._retry_at = now + REFRESH_INTERVAL_US
 
 
 class FirstMessageSettles(Completeness):
-    def answered(self, now: int, opened_at: int, age: int, on_refresh: bool) -> None:
+    def message_received(self, now: int, opened_at: int, age: int, on_refresh: bool) -> None:
         self._spoke_at = 0
-        super().answered(now, opened_at, age, on_refresh)
+        super().message_received(now, opened_at, age, on_refresh)
 
 
 class MessagesMoveTheDoubt(Completeness):
-    def speaks_again(self, now: int) -> None:
-        super().speaks_again(now)
+    def silence_ended(self, now: int) -> None:
+        super().silence_ended(now)
         if self.doubted_from is not None:
             self.doubted_from = now
 
 
 class DoubtsFromTheLastProof(Completeness):
     def doubt(self, now: int, heard_at: int) -> None:
-        super().doubt(now, self.proven_at)
+        super().doubt(now, self.proven_until)
 
 
 class WaitsBehindSilence(Completeness):
-    def speaks_again(self, now: int) -> None:
+    def silence_ended(self, now: int) -> None:
         self._spoke_at, self._retry_at = now, now + 4 * SECOND
 
 
@@ -123,22 +123,24 @@
 
 def test_a_proof_is_due_again_after_its_time_where_a_session_stands_so_long() -> None:
     held = Completeness()
-    held.answered(SECOND, SECOND, PROMPT, True)
-    assert not held.refresh_due(SECOND + REFRESH_AFTER - 1, 0) and held.refresh_due(SECOND + REFRESH_AFTER, 0)
-    assert not held.refresh_due(10 * SECOND, 10 * SECOND - REFRESH_AFTER + 1)
+    held.message_received(SECOND, SECOND, PROMPT_ANSWER_US, True)
+    assert not held.refresh_due(SECOND + REFRESH_INTERVAL_US - 1, 0) and held.refresh_due(
+        SECOND + REFRESH_INTERVAL_US, 0
+    )
+    assert not held.refresh_due(10 * SECOND, 10 * SECOND - REFRESH_INTERVAL_US + 1)
     assert not held.refresh_due(100 * SECOND, None)
 
 
 def test_nothing_is_over_while_nothing_is_doubted() -> None:
-    assert Completeness().over_if_standing_since(1000 * SECOND) is None
+    assert Completeness().expiry_cutoff(1000 * SECOND) is None
 
 
 def test_what_is_doubted_is_over_by_the_limit_of_the_lease_unless_this_process_stood() -> None:
     held = Completeness()
     held.doubt(2 * SECOND, SECOND)
     at = SECOND + LEASE_DURATION_US
-    assert held.over_if_standing_since(at) is None
-    assert held.over_if_standing_since(at + 1) == at + 1 - LEASE_DURATION_US
-    held.looks(2 * SECOND)
-    held.looks(at + 1)
-    assert held.over_if_standing_since(at + 1) is None
+    assert held.expiry_cutoff(at) is None
+    assert held.expiry_cutoff(at + 1) == at + 1 - LEASE_DURATION_US
+    held.record_check(2 * SECOND)
+    held.record_check(at + 1)
+    assert held.expiry_cutoff(at + 1) is None
--- a/tests/soak/mutants.py
+++ b/tests/soak/mutants.py
@@ -163,7 +163,7 @@
     def proven(self: Any, now: int, opened_at: int, age: int, on_refresh: bool) -> None:
         self._prove(now)
 
-    Completeness.answered = proven  # type: ignore[method-assign]
+    Completeness.message_received = proven  # type: ignore[method-assign]
 
 
 MUTANTS: dict[str, Callable[[], None]] = {
