--- a/ponddoor/node/process.py
+++ b/ponddoor/node/process.py
@@ -145,8 +145,8 @@
             "told-to-end",
             in_hand=self.engine.requests_in_hand,
             held=self.engine.sessions_held,
-            refuse_in_ms=(self.drain.refuse_from - self.drain.told_at) // 1000,
-            answer_in_ms=(self.drain.answer_by - self.drain.told_at) // 1000,
+            refuse_in_ms=(self.drain.refuse_from - self.drain.sigterm_at) // 1000,
+            answer_in_ms=(self.drain.answer_by - self.drain.sigterm_at) // 1000,
         )
 
     def _follow_signals(self, path: Path, early: Sequence[EarlySignal]) -> None:
--- a/ponddoor/node/viewers.py
+++ b/ponddoor/node/viewers.py
@@ -279,7 +279,7 @@
             return  # it has ended by now, or the record is that of a later request with the same id
         wait = max(viewer_request.wait - (now - read_at), 1)
         if self.drain is not None:
-            wait = self.drain.time_for(now, wait)
+            wait = self.drain.limit_wait(now, wait)
         self.apply(lambda now: self.engine.request(now, session, replace(viewer_request, wait=wait), None)[1])
 
     def _is_known(self, session: str) -> bool:
--- a/ponddoor/obligations/drain.py
+++ b/ponddoor/obligations/drain.py
@@ -8,11 +8,11 @@
 from enum import Enum
 
 SECOND = 1_000_000
-KILL_AFTER_DEADLINE = 700_000
-LONGEST_COUNTED_DEADLINE = 3 * SECOND
-FORWARD_FOR = 700_000  # after this a set-up that SIGKILL finds unanswered is lost
-LEAST_TIME_TO_FORWARD = 100_000  # less than this is not worth an attempt
-END_MARGIN = 300_000  # kept before SIGKILL, for a process that gets little processor time
+KILL_DELAY_US = 700_000
+MAX_COUNTED_DEADLINE_US = 3 * SECOND
+FORWARDING_DURATION_US = 700_000  # after this a set-up that SIGKILL finds unanswered is lost
+MIN_ATTEMPT_TIME_US = 100_000  # less than this is not worth an attempt
+KILL_MARGIN_US = 300_000  # kept before SIGKILL, for a process that gets little processor time
 
 
 class DrainPhase(Enum):
@@ -28,18 +28,18 @@
 class DrainSchedule:
     """When each phase of a shutdown begins."""
 
-    told_at: int
+    sigterm_at: int
     refuse_from: int
     answer_by: int
     kill_at: int
 
     @classmethod
-    def after_sigterm(cls, told_at: int, longest_deadline: int) -> "DrainSchedule":
-        """The schedule for a SIGTERM at `told_at` where no class waits longer than `longest_deadline`."""
-        kill_at = told_at + min(longest_deadline, LONGEST_COUNTED_DEADLINE) + KILL_AFTER_DEADLINE
-        answer_by = kill_at - END_MARGIN
-        refuse_from = min(told_at + FORWARD_FOR, answer_by - LEAST_TIME_TO_FORWARD)
-        return cls(told_at, refuse_from, answer_by, kill_at)
+    def after_sigterm(cls, sigterm_at: int, longest_deadline: int) -> "DrainSchedule":
+        """The schedule for a SIGTERM at `sigterm_at` where no class waits longer than `longest_deadline`."""
+        kill_at = sigterm_at + min(longest_deadline, MAX_COUNTED_DEADLINE_US) + KILL_DELAY_US
+        answer_by = kill_at - KILL_MARGIN_US
+        refuse_from = min(sigterm_at + FORWARDING_DURATION_US, answer_by - MIN_ATTEMPT_TIME_US)
+        return cls(sigterm_at, refuse_from, answer_by, kill_at)
 
     def phase(self, now: int) -> DrainPhase:
         """The phase at a moment."""
@@ -47,6 +47,6 @@
             return DrainPhase.FORWARDING
         return DrainPhase.REFUSING if now < self.answer_by else DrainPhase.CLOSING
 
-    def time_for(self, now: int, wait: int) -> int:
+    def limit_wait(self, now: int, wait: int) -> int:
         """How long a set-up that would wait `wait` may wait: all is answered by `answer_by`."""
         return max(1, min(wait, self.answer_by - now))
--- a/tests/node/conftest.py
+++ b/tests/node/conftest.py
@@ -41,7 +41,7 @@
     "silent_connection_timeout_us": (node_viewers, "SILENT_CONNECTION_TIMEOUT_US"),
     "partial_message_timeout_us": (node_viewers, "PARTIAL_MESSAGE_TIMEOUT_US"),
     "partial_line_timeout_us": (node_server_link, "PARTIAL_LINE_TIMEOUT_US"),
-    "forward_for_us": (drain, "FORWARD_FOR"),
+    "forward_for_us": (drain, "FORWARDING_DURATION_US"),
     "tick_interval_us": (node_process, "TICK_INTERVAL_US"),
     "reserved_descriptors": (node_process, "RESERVED_DESCRIPTORS"),
     "viewer_share_divisor": (node_process, "VIEWER_SHARE_DIVISOR"),
--- a/tests/soak/mutants.py
+++ b/tests/soak/mutants.py
@@ -22,9 +22,9 @@
 def forwards_until_the_kill() -> None:
     """Set-ups are forwarded through the whole shutdown, and connections stay open."""
 
-    def after_sigterm(told_at: int, longest_deadline: int) -> DrainSchedule:
-        late = told_at + 60_000_000
-        return DrainSchedule(told_at, late, late, late)
+    def after_sigterm(sigterm_at: int, longest_deadline: int) -> DrainSchedule:
+        late = sigterm_at + 60_000_000
+        return DrainSchedule(sigterm_at, late, late, late)
 
     DrainSchedule.after_sigterm = after_sigterm  # type: ignore[method-assign]
 
@@ -33,9 +33,9 @@
     """Set-ups are refused at once, but connections stay open until SIGKILL."""
     made = DrainSchedule.after_sigterm
 
-    def after_sigterm(told_at: int, longest_deadline: int) -> DrainSchedule:
-        drain = made(told_at, longest_deadline)
-        return DrainSchedule(told_at, drain.refuse_from, told_at + 60_000_000, drain.kill_at)
+    def after_sigterm(sigterm_at: int, longest_deadline: int) -> DrainSchedule:
+        drain = made(sigterm_at, longest_deadline)
+        return DrainSchedule(sigterm_at, drain.refuse_from, sigterm_at + 60_000_000, drain.kill_at)
 
     DrainSchedule.after_sigterm = after_sigterm  # type: ignore[method-assign]
     Viewers.close_idle = lambda self: None  # type: ignore[method-assign]
