--- a/ponddoor/node/viewers.py
+++ b/ponddoor/node/viewers.py
@@ -91,7 +91,7 @@
         self._schedule_eviction()
 
     def _mark_used(self, connection: ViewerConnection) -> None:
-        self.connections.mark_used(connection, self.sessions.brought(connection))
+        self.connections.mark_used(connection, self.sessions.has_standing_sessions(connection))
 
     def _schedule_eviction(self) -> None:
         """Evict idle connections in the next turn of the event loop if there are too many.
@@ -116,7 +116,7 @@
 
     def _is_in_use(self, connection: ViewerConnection) -> bool:
         """Whether a request is open on a connection, or may be in its unread input."""
-        return self.sessions.is_open_on(connection) or has_unread(connection.transport)
+        return self.sessions.has_open_requests(connection) or has_unread(connection.transport)
 
     def request_close(self, connection: ViewerConnection, reason: str) -> None:
         """Close a connection whose further input cannot be decoded."""
@@ -127,9 +127,9 @@
 
         `linger` None lets the connection linger if it was written to lately and few others linger."""
         self.count(reason)
-        for session in self.sessions.open_on(connection):
+        for session in self.sessions.open_requests_on(connection):
             self.answer_now(session, reason)
-        self.sessions.closing(connection)
+        self.sessions.connection_closing(connection)
         log.debug(
             "closing",
             connection=connection.number,
@@ -158,7 +158,7 @@
         Standing sessions go on."""
         self.connections.remove(connection)
         end = self.sessions.connection_ended(clock(), connection)
-        for session in end.given_up:
+        for session in end.ended_requests:
             self._withdraw(session)
         if end.resend:
             self._send_due_releases()
@@ -190,7 +190,7 @@
             case codec.Release(session):
                 self._handle_release(connection, session)
             case codec.ReleaseAck(session):
-                self.sessions.acknowledged(clock(), session)
+                self.sessions.release_acknowledged(clock(), session)
             case codec.ReadinessTest(session):
                 connection.proven = True
                 connection.write(codec.encode_test_result(session, self.ready))
@@ -200,9 +200,9 @@
 
         A request can only be withdrawn on its own connection: otherwise a stranger could withdraw it, and its
         viewer would never be answered. A standing session can be ended from any connection."""
-        if self.sessions.waits(session) not in (None, connection):
+        if self.sessions.waiting_connection(session) not in (None, connection):
             return
-        phase = self.sessions.give_up(clock(), session)
+        phase = self.sessions.end_by_viewer(clock(), session)
         if phase is None or phase is Phase.RELEASING:
             return
         if phase is Phase.STANDING:
@@ -267,7 +267,7 @@
         count as an arrival; the rate of arrivals paces the probes."""
         read_at = clock()
         self.sessions.receive(read_at, session, connection, viewer_request.wait)
-        if self.sessions.received + self.engine.requests_in_hand <= self.engine.gate.limits.in_hand:
+        if self.sessions.received_count + self.engine.requests_in_hand <= self.engine.gate.limits.in_hand:
             after_pending_reads(lambda: self._submit(session, viewer_request, read_at))
         else:  # over the limit: the engine answers busy at once
             self._submit(session, viewer_request, read_at)
@@ -275,7 +275,7 @@
     def _submit(self, session: str, viewer_request: ViewerRequest, read_at: int) -> None:
         now = clock()
         record = self.sessions.find(session)
-        if record is None or record.since != read_at or not self.sessions.submit(now, session):
+        if record is None or record.phase_since != read_at or not self.sessions.submit(now, session):
             return  # it has ended by now, or the record is that of a later request with the same id
         wait = max(viewer_request.wait - (now - read_at), 1)
         if self.drain is not None:
@@ -292,23 +292,23 @@
         untrusted connection and the duplicate comes on a trusted one, the first request ends. Otherwise the
         existing request or session is left as it is: it may be that of another viewer."""
         self.count("id-used-twice")
-        first = self.sessions.waits(session)
+        first = self.sessions.waiting_connection(session)
         if first is connection:
             self._fail_duplicate(connection, session)
         elif first is not None and connection.trusted and not first.trusted:
             # A stranger's copy was read before the viewer's own request: the trusted connection is answered
             self.count("overtaken")
             self._fail_duplicate(connection, session)
-            if not self.sessions.is_open_on(first):
+            if not self.sessions.has_open_requests(first):
                 self.close_connection(first, "closed-for-id")
-        elif self.sessions.is_open_on(connection):
+        elif self.sessions.has_open_requests(connection):
             connection.write(codec.encode_failed(session))
         else:
             self.close_connection(connection, "closed-for-id")
 
     def _fail_duplicate(self, connection: ViewerConnection, session: str) -> None:
         """End the request with this id, and report its failure on the connection that used the id again."""
-        phase = self.sessions.give_up(clock(), session)
+        phase = self.sessions.end_by_viewer(clock(), session)
         if phase is Phase.RECEIVED:
             self.count("taken-back")
         else:
@@ -334,7 +334,7 @@
                 self._reply(session, answer)
             case fx.Push(session, "ended", "viewer-gone"):
                 self.session_log.session_over(session, "viewer-gone")
-                self.sessions.end_silently(clock(), session)
+                self.sessions.end_without_release(clock(), session)
             case fx.Push(session, "ended", reason):
                 self.session_log.session_over(session, str(reason))
                 self._release(session, codec.encode_ended(session, reason == "lost"))
@@ -368,7 +368,7 @@
         another: the protocol lets a release go out on any connection."""
         record = self.sessions.find(session)
         own = record.connection if record is not None else None
-        if not self.sessions.end(clock(), session, message, acknowledged):
+        if not self.sessions.end_session(clock(), session, message, acknowledged):
             return
         if own is not None and own.open:
             self._write_release(own, session, message)
@@ -378,18 +378,18 @@
         connection.write(message)
         record = self.sessions.find(session)
         self.session_log.session_released(
-            session, connection.number, record is not None and bool(record.tried)
+            session, connection.number, record is not None and bool(record.sent_on)
         )
-        self.sessions.sent(clock(), session, connection)
+        self.sessions.release_sent(clock(), session, connection)
 
     def _send_due_releases(self) -> None:
-        due = self.sessions.due(clock())
+        due = self.sessions.due_releases(clock())
         candidates = self.connections.release_candidates() if due else []
         for record in due if candidates else ():
-            untried = (candidate for candidate in candidates if candidate not in record.tried)
+            untried = (candidate for candidate in candidates if candidate not in record.sent_on)
             connection = next(untried, candidates[0])
-            self._write_release(connection, record.session, record.message)
-        if self.sessions.pending and self._release_timer is None:
+            self._write_release(connection, record.session, record.release_message)
+        if self.sessions.pending_releases and self._release_timer is None:
             loop = asyncio.get_running_loop()
             self._release_timer = loop.call_later(
                 RELEASE_CHECK_INTERVAL_US / SECOND, self._release_timer_expired
@@ -412,7 +412,7 @@
             elif self._is_silent(connection, now):
                 self.close_connection(connection, "silent")
         self._schedule_eviction()
-        for session in self.sessions.overdue(now):
+        for session in self.sessions.overdue_requests(now):
             self.answer_now(session, "overdue")
 
     def _is_silent(self, connection: ViewerConnection, now: int) -> bool:
@@ -439,7 +439,7 @@
     def close_idle(self) -> None:
         """Close connections that have no open request, standing session, partial message or unread input."""
         for connection in list(self.connections.all):
-            if not self.sessions.brought(connection) and self._is_idle(connection):
+            if not self.sessions.has_standing_sessions(connection) and self._is_idle(connection):
                 self.close_connection(connection, "drained", linger=True)
 
     def _is_idle(self, connection: ViewerConnection) -> bool:
--- a/ponddoor/obligations/sessions.py
+++ b/ponddoor/obligations/sessions.py
@@ -16,17 +16,17 @@
 from ponddoor.obligations.violations import Invariant, Violations
 
 SECOND = 1_000_000
-RESEND_AFTER = SECOND // 5  # without an acknowledgement; four of these fit into the second of the rule
-UNACKNOWLEDGED_FOR = SECOND // 2  # how long a connection must outlive a release that nobody acknowledges
-RELEASE_WITHIN = SECOND
-PENDING_FOR = 30 * SECOND  # a release that no connection takes
-SENT_FOR = 8 * SECOND  # a release that was sent and never acknowledged
-MOST_REPEATS = 4  # for want of an acknowledgement; more only where a connection ends
-MOST_PENDING = 4096
-EARLY_FOR = SECOND  # how long a release is remembered whose session is not known yet
-MOST_EARLY = 4096
-HISTORY = 8  # transitions kept of a record
-LATE_ANSWER = 200_000  # after its deadline a request without an answer is an error of ours
+RESEND_INTERVAL_US = SECOND // 5  # without an acknowledgement; four of these fit into the second of the rule
+SETTLE_AFTER_US = SECOND // 2  # how long a connection must outlive a release that nobody acknowledges
+RELEASE_DEADLINE_US = SECOND
+UNSENT_RELEASE_TIMEOUT_US = 30 * SECOND  # a release that no connection takes
+ACK_TIMEOUT_US = 8 * SECOND  # a release that was sent and never acknowledged
+MAX_REPEATS = 4  # for want of an acknowledgement; more only where a connection ends
+MAX_PENDING_RELEASES = 4096
+EARLY_RELEASE_TIMEOUT_US = SECOND  # how long a release is remembered whose session is not known yet
+MAX_EARLY_RELEASES = 4096
+MAX_TRANSITIONS = 8  # transitions kept of a record
+ANSWER_GRACE_US = 200_000  # after its deadline a request without an answer is an error of ours
 
 ConnectionT = TypeVar("ConnectionT", bound=Hashable)
 
@@ -52,14 +52,14 @@
     EXPIRED = "expired"
 
 
-NEXT = {
+ALLOWED_TRANSITIONS = {
     Phase.RECEIVED: frozenset((Phase.WAITING, Phase.CLOSED)),
     Phase.WAITING: frozenset((Phase.STANDING, Phase.CLOSED)),
     Phase.STANDING: frozenset((Phase.RELEASING, Phase.CLOSED)),
     Phase.RELEASING: frozenset((Phase.CLOSED,)),
     Phase.CLOSED: frozenset[Phase](),
 }
-OPEN = (Phase.RECEIVED, Phase.WAITING)
+OPEN_PHASES = (Phase.RECEIVED, Phase.WAITING)
 
 
 @dataclass(slots=True)
@@ -68,21 +68,21 @@
 
     session: str
     phase: Phase
-    since: int
+    phase_since: int
     deadline: int  # of the phase
     connection: ConnectionT | None
-    message: bytes = b""  # the release, while it is pending
-    acknowledged: bool = True  # whether viewers acknowledge such a message
+    release_message: bytes = b""  # the release, while it is pending
+    expects_ack: bool = True  # whether viewers acknowledge such a message
     sent_at: int | None = None
-    tried: list[ConnectionT] = field(default_factory=list)
-    history: "deque[str]" = field(default_factory=lambda: deque(maxlen=HISTORY))
+    sent_on: list[ConnectionT] = field(default_factory=list)
+    history: "deque[str]" = field(default_factory=lambda: deque(maxlen=MAX_TRANSITIONS))
 
 
 @dataclass(frozen=True, slots=True)
 class ConnectionEnd:
     """What the end of a connection leaves: set-ups that end with it, releases to be sent on another."""
 
-    given_up: tuple[str, ...]
+    ended_requests: tuple[str, ...]
     resend: tuple[str, ...]
 
 
@@ -92,7 +92,7 @@
 
     violations: Violations = field(default_factory=Violations)
     counts: dict[str, int] = field(default_factory=dict)
-    acknowledges: bool = False  # whether viewers have been heard to acknowledge releases
+    viewers_acknowledge: bool = False  # whether viewers have been heard to acknowledge releases
     _records: dict[str, Record[ConnectionT]] = field(default_factory=dict)
     _open_on: dict[ConnectionT, dict[str, None]] = field(default_factory=dict)
     _standing_on: dict[ConnectionT, dict[str, None]] = field(default_factory=dict)
@@ -106,20 +106,20 @@
         """The record of a session that is not closed."""
         return self._records.get(session)
 
-    def waits(self, session: str) -> ConnectionT | None:
+    def waiting_connection(self, session: str) -> ConnectionT | None:
         """The connection on which a set-up is open."""
         record = self._records.get(session)
-        return record.connection if record is not None and record.phase in OPEN else None
+        return record.connection if record is not None and record.phase in OPEN_PHASES else None
 
-    def open_on(self, connection: ConnectionT) -> tuple[str, ...]:
+    def open_requests_on(self, connection: ConnectionT) -> tuple[str, ...]:
         """The set-ups that are open on a connection."""
         return tuple(self._open_on.get(connection, ()))
 
-    def is_open_on(self, connection: ConnectionT) -> bool:
+    def has_open_requests(self, connection: ConnectionT) -> bool:
         """Whether a set-up is open on a connection."""
         return connection in self._open_on
 
-    def brought(self, connection: ConnectionT) -> bool:
+    def has_standing_sessions(self, connection: ConnectionT) -> bool:
         """Whether a session that stands came by a connection."""
         return connection in self._standing_on
 
@@ -128,17 +128,17 @@
         return [session for sessions in self._open_on.values() for session in sessions]
 
     @property
-    def received(self) -> int:
+    def received_count(self) -> int:
         """Set-ups that the decisions have not been asked about yet."""
         return len(self._received)
 
     @property
-    def standing(self) -> int:
+    def standing_count(self) -> int:
         """Sessions that stand."""
         return sum(record.phase is Phase.STANDING for record in self._records.values())
 
     @property
-    def pending(self) -> tuple[str, ...]:
+    def pending_releases(self) -> tuple[str, ...]:
         """Sessions whose release has not been heard."""
         return tuple(self._pending)
 
@@ -165,7 +165,7 @@
     def answer(self, now: int, session: str, stands: bool) -> ConnectionT | None:
         """The one answer to a set-up: the connection it goes to, None where nobody waits."""
         record = self._records.get(session)
-        if record is None or record.phase not in OPEN:
+        if record is None or record.phase not in OPEN_PHASES:
             if record is not None:
                 self._violated(Invariant.ONE_ANSWER, record, "answered again")
             return None
@@ -181,7 +181,7 @@
         self._stand_on(record)
         return connection
 
-    def give_up(self, now: int, session: str) -> Phase | None:
+    def end_by_viewer(self, now: int, session: str) -> Phase | None:
         """Its viewer is done, with waiting or with the session: the phase it was in, None if not known."""
         record = self._records.get(session)
         if record is None:
@@ -189,16 +189,18 @@
             return None
         phase = record.phase
         self._forget_open(record)
-        self._close(record, now, CloseReason.GIVEN_UP if phase in OPEN else CloseReason.ENDED_BY_VIEWER)
+        self._close(
+            record, now, CloseReason.GIVEN_UP if phase in OPEN_PHASES else CloseReason.ENDED_BY_VIEWER
+        )
         return phase
 
-    def overdue(self, now: int) -> list[str]:
+    def overdue_requests(self, now: int) -> list[str]:
         """Set-ups whose time is over and that nobody has answered: a violation, to be answered at once."""
         late = []
         for sessions in self._open_on.values():
             for session in sessions:
                 record = self._records[session]
-                if now > record.deadline + LATE_ANSWER:
+                if now > record.deadline + ANSWER_GRACE_US:
                     self._violated(Invariant.ANSWERED_IN_TIME, record, "its time is over")
                     late.append(session)
         return late
@@ -212,30 +214,30 @@
         record = Record(session, Phase.STANDING, now, now, connection)
         self._records[session] = record
         self._note(record, now, "handed over")
-        if self._early.pop(session, -EARLY_FOR) > now - EARLY_FOR:
+        if self._early.pop(session, -EARLY_RELEASE_TIMEOUT_US) > now - EARLY_RELEASE_TIMEOUT_US:
             self._close(record, now, CloseReason.ENDED_BY_VIEWER)
             return False
         self._stand_on(record)
         return True
 
-    def end(self, now: int, session: str, message: bytes, acknowledged: bool = True) -> bool:
+    def end_session(self, now: int, session: str, message: bytes, expects_ack: bool = True) -> bool:
         """A session that stood is over, and its viewer is owed `message`; False where nobody is.
 
-        `acknowledged` tells whether viewers acknowledge such a message at all."""
+        `expects_ack` tells whether viewers acknowledge such a message at all."""
         record = self._records.get(session)
         if record is None or record.phase is not Phase.STANDING:
             return False
         self._forget_standing(record)
         self._move(record, now, Phase.RELEASING, "over")
-        record.deadline, record.message = now + RELEASE_WITHIN, message
-        record.acknowledged = acknowledged
+        record.deadline, record.release_message = now + RELEASE_DEADLINE_US, message
+        record.expects_ack = expects_ack
         self._pending[session] = None
-        if len(self._pending) > MOST_PENDING:
+        if len(self._pending) > MAX_PENDING_RELEASES:
             oldest = self._records[next(iter(self._pending))]
             self._close(oldest, now, CloseReason.EXPIRED)
         return True
 
-    def end_silently(self, now: int, session: str) -> None:
+    def end_without_release(self, now: int, session: str) -> None:
         """A session is over and its viewer is owed nothing: it ended it."""
         record = self._records.get(session)
         if record is not None and record.phase is Phase.STANDING:
@@ -243,40 +245,40 @@
 
     # Releases
 
-    def due(self, now: int) -> list[Record[ConnectionT]]:
+    def due_releases(self, now: int) -> list[Record[ConnectionT]]:
         """Releases to be sent now: not sent yet, or not acknowledged in time."""
         found = []
         for session in list(self._pending):
             record = self._records[session]
             if record.sent_at is None:
-                if now - record.since > PENDING_FOR:
+                if now - record.phase_since > UNSENT_RELEASE_TIMEOUT_US:
                     self._close(record, now, CloseReason.EXPIRED)
                 else:
                     found.append(record)
-            elif self.acknowledges and record.acknowledged:
-                if now - record.since > SENT_FOR:
+            elif self.viewers_acknowledge and record.expects_ack:
+                if now - record.phase_since > ACK_TIMEOUT_US:
                     self._close(record, now, CloseReason.EXPIRED)
-                elif now - record.sent_at >= RESEND_AFTER and len(record.tried) <= MOST_REPEATS:
+                elif now - record.sent_at >= RESEND_INTERVAL_US and len(record.sent_on) <= MAX_REPEATS:
                     found.append(record)
-            elif now - record.sent_at >= UNACKNOWLEDGED_FOR:
+            elif now - record.sent_at >= SETTLE_AFTER_US:
                 self._close(record, now, CloseReason.SETTLED)
         return found
 
-    def sent(self, now: int, session: str, connection: ConnectionT) -> None:
+    def release_sent(self, now: int, session: str, connection: ConnectionT) -> None:
         """A release was written to a connection."""
         record = self._records.get(session)
         if record is None or record.phase is not Phase.RELEASING:
             return
         if record.sent_at is None and now > record.deadline:
             self.count("release-late")
-        self.count("release-sent" if not record.tried else "release-repeated")
+        self.count("release-sent" if not record.sent_on else "release-repeated")
         record.connection, record.sent_at = connection, now
-        record.tried.append(connection)
-        self._note(record, now, "release sent" if len(record.tried) == 1 else "release repeated")
+        record.sent_on.append(connection)
+        self._note(record, now, "release sent" if len(record.sent_on) == 1 else "release repeated")
 
-    def acknowledged(self, now: int, session: str) -> None:
+    def release_acknowledged(self, now: int, session: str) -> None:
         """A viewer has heard a release."""
-        self.acknowledges = True
+        self.viewers_acknowledge = True
         record = self._records.get(session)
         if record is not None and record.phase is Phase.RELEASING:
             if now > record.deadline:
@@ -287,9 +289,9 @@
 
     def connection_ended(self, now: int, connection: ConnectionT) -> ConnectionEnd:
         """A connection is gone: its open set-ups end, releases written to it and not heard are due again."""
-        given_up = self.open_on(connection)
-        for session in given_up:
-            self.give_up(now, session)
+        ended_requests = self.open_requests_on(connection)
+        for session in ended_requests:
+            self.end_by_viewer(now, session)
         for session in self._standing_on.pop(connection, {}):
             self._records[session].connection = None
         resend = []
@@ -298,11 +300,11 @@
             if record.connection is connection:
                 record.connection, record.sent_at = None, None
                 resend.append(session)
-        return ConnectionEnd(given_up, tuple(resend))
+        return ConnectionEnd(ended_requests, tuple(resend))
 
-    def closing(self, connection: ConnectionT) -> None:
+    def connection_closing(self, connection: ConnectionT) -> None:
         """The front is about to close a connection: no set-up may be open on it."""
-        for session in self.open_on(connection):
+        for session in self.open_requests_on(connection):
             record = self._records[session]
             self._violated(Invariant.CLOSED_WITHOUT_WAITING, record, "closed without an answer")
 
@@ -313,12 +315,12 @@
         self.counts[what] = self.counts.get(what, 0) + 1
 
     def _move(self, record: Record[ConnectionT], now: int, phase: Phase, what: str) -> bool:
-        if phase not in NEXT[record.phase]:
+        if phase not in ALLOWED_TRANSITIONS[record.phase]:
             self._violated(Invariant.LEGAL_TRANSITION, record, f"{record.phase.value} to {phase.value}")
             return False
         if record.phase is Phase.RECEIVED:
             self._received.pop(record.session, None)
-        record.phase, record.since = phase, now
+        record.phase, record.phase_since = phase, now
         self._note(record, now, what)
         return True
 
@@ -353,7 +355,10 @@
         self._early[session] = now
         while self._early:
             oldest = next(iter(self._early))
-            if len(self._early) <= MOST_EARLY and self._early[oldest] > now - EARLY_FOR:
+            if (
+                len(self._early) <= MAX_EARLY_RELEASES
+                and self._early[oldest] > now - EARLY_RELEASE_TIMEOUT_US
+            ):
                 break
             del self._early[oldest]
 
--- a/ponddoor/obligations/violations.py
+++ b/ponddoor/obligations/violations.py
@@ -29,11 +29,11 @@
 class Violations:
     """The count of each invariant, and who is told: the shell logs, a test fails."""
 
-    tell: Callable[[Violation], None] | None = None
+    on_violation: Callable[[Violation], None] | None = None
     counts: dict[str, int] = field(default_factory=dict)
 
     def add(self, invariant: Invariant, session: str, detail: str, history: tuple[str, ...] = ()) -> None:
         """Count a violation and tell of it."""
         self.counts[invariant.value] = self.counts.get(invariant.value, 0) + 1
-        if self.tell is not None:
-            self.tell(Violation(invariant, session, detail, history))
+        if self.on_violation is not None:
+            self.on_violation(Violation(invariant, session, detail, history))
--- a/tests/node/conftest.py
+++ b/tests/node/conftest.py
@@ -298,7 +298,7 @@
             "viewers": len(node.viewers.connections),
             "listed": len(node.discovery.roster.entries),
             "version": node.discovery.roster.version,
-            "standing": node.viewers.sessions.standing,
+            "standing": node.viewers.sessions.standing_count,
             "open_requests": len(node.viewers.sessions.open_requests()),
         }
 
--- a/tests/node/test_crossings.py
+++ b/tests/node/test_crossings.py
@@ -635,7 +635,7 @@
         newest = await connect_proven_viewer(harness)
         while len(harness.node.viewers.connections) > 16:
             await asyncio.sleep(0)
-        assert harness.node.viewers.sessions.waits(session_id("1")) is not None
+        assert harness.node.viewers.sessions.waiting_connection(session_id("1")) is not None
         await harness.step("S", "receives", "new", "1")
         await harness.step("S", "answers", "1")
         assert (await oldest.receive())[0] == 9
@@ -680,7 +680,7 @@
         viewer.send(setup_request("1"))
         await harness.step("S", "receives", "new", "1")
         await harness.step("S", "answers", "1")
-        while not harness.node.viewers.sessions.standing:
+        while not harness.node.viewers.sessions.standing_count:
             await asyncio.sleep(0)
         (connection,) = harness.node.viewers.connections.all
         viewer.send(READINESS_TEST * 100)  # unread when the node closes the connection
@@ -1100,7 +1100,7 @@
         await start_node(harness)
         viewer, number = await connect_proven_viewer(harness), 3
         viewer.send(setup_request("1", at=f"s-{number:08x}"))
-        while not harness.node.viewers.sessions.standing:
+        while not harness.node.viewers.sessions.standing_count:
             await asyncio.sleep(0)
         await harness.start_server(number)
         await harness.step("b", "is-watched", "1")
--- a/tests/obligations/test_sessions.py
+++ b/tests/obligations/test_sessions.py
@@ -7,11 +7,11 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
 from ponddoor.obligations.sessions import (
-    EARLY_FOR,
-    MOST_REPEATS,
-    RESEND_AFTER,
-    SENT_FOR,
-    UNACKNOWLEDGED_FOR,
+    ACK_TIMEOUT_US,
+    EARLY_RELEASE_TIMEOUT_US,
+    MAX_REPEATS,
+    RESEND_INTERVAL_US,
+    SETTLE_AFTER_US,
     ConnectionEnd,
     Phase,
     Sessions,
@@ -31,7 +31,7 @@
     sessions = Sessions[str]()
     sessions.receive(0, "a", "v", SECOND)
     assert sessions.answer(1, "a", False) == "v" and sessions.answer(2, "a", False) is None
-    assert not sessions.is_open_on("v") and not sessions.violations.counts
+    assert not sessions.has_open_requests("v") and not sessions.violations.counts
 
 
 def test_the_end_of_a_connection_ends_its_set_ups_and_no_session() -> None:
@@ -39,53 +39,53 @@
     standing(sessions)
     sessions.receive(1, "b", "v", SECOND)
     assert sessions.connection_ended(2, "v") == ConnectionEnd(("b",), ())
-    assert sessions.standing == 1 and sessions.find("b") is None
+    assert sessions.standing_count == 1 and sessions.find("b") is None
 
 
 def test_a_release_whose_connection_ends_is_due_again_at_once() -> None:
     sessions = Sessions[str]()
     standing(sessions)
-    assert sessions.end(10, "a", OVER)
-    sessions.sent(10, "a", "v")
-    assert not sessions.due(11)
+    assert sessions.end_session(10, "a", OVER)
+    sessions.release_sent(10, "a", "v")
+    assert not sessions.due_releases(11)
     assert sessions.connection_ended(11, "v").resend == ("a",)
-    assert [record.session for record in sessions.due(11)] == ["a"]
+    assert [record.session for record in sessions.due_releases(11)] == ["a"]
 
 
 def test_a_release_that_is_not_acknowledged_is_repeated_a_few_times() -> None:
     sessions = Sessions[str]()
-    sessions.acknowledged(0, "x")
+    sessions.release_acknowledged(0, "x")
     standing(sessions)
-    sessions.end(0, "a", OVER)
+    sessions.end_session(0, "a", OVER)
     sent = 0
-    for now in range(0, SENT_FOR + SECOND, RESEND_AFTER // 4):
-        for record in sessions.due(now):
-            sessions.sent(now, record.session, "v")
+    for now in range(0, ACK_TIMEOUT_US + SECOND, RESEND_INTERVAL_US // 4):
+        for record in sessions.due_releases(now):
+            sessions.release_sent(now, record.session, "v")
             sent += 1
-    assert sent == 1 + MOST_REPEATS and not sessions.pending
+    assert sent == 1 + MAX_REPEATS and not sessions.pending_releases
 
 
 def test_where_nobody_acknowledges_a_release_is_settled_with_time() -> None:
     sessions = Sessions[str]()
     standing(sessions)
-    sessions.end(0, "a", OVER)
-    sessions.sent(0, "a", "v")
-    assert not sessions.due(UNACKNOWLEDGED_FOR) and not sessions.pending
+    sessions.end_session(0, "a", OVER)
+    sessions.release_sent(0, "a", "v")
+    assert not sessions.due_releases(SETTLE_AFTER_US) and not sessions.pending_releases
 
 
 def test_a_release_that_comes_before_its_hand_over_ends_the_session() -> None:
-    for later, plays in ((EARLY_FOR - 1, False), (EARLY_FOR, True)):
+    for later, plays in ((EARLY_RELEASE_TIMEOUT_US - 1, False), (EARLY_RELEASE_TIMEOUT_US, True)):
         sessions = Sessions[str]()
-        assert sessions.give_up(0, "a") is None
+        assert sessions.end_by_viewer(0, "a") is None
         assert sessions.hand_over(later, "a", "v") is plays
 
 
 def test_a_set_up_that_nobody_answers_is_a_violation() -> None:
     told = list[Any]()
     sessions = Sessions[str]()
-    sessions.violations.tell = told.append
+    sessions.violations.on_violation = told.append
     sessions.receive(0, "a", "v", SECOND)
-    assert not sessions.overdue(SECOND) and sessions.overdue(2 * SECOND) == ["a"]
+    assert not sessions.overdue_requests(SECOND) and sessions.overdue_requests(2 * SECOND) == ["a"]
     assert told[0].session == "a" and told[0].history == ("0 received",)
 
 
@@ -103,11 +103,11 @@
     @rule(step=st.integers(1, 300_000))
     def time_passes(self, step: int) -> None:
         self.now += step
-        for record in self.sessions.due(self.now):
+        for record in self.sessions.due_releases(self.now):
             assert record.phase is Phase.RELEASING
             usable = sorted(self.open_connections)
             if usable:
-                self.sessions.sent(self.now, record.session, usable[record.since % len(usable)])
+                self.sessions.release_sent(self.now, record.session, usable[record.phase_since % len(usable)])
                 self.owed.pop(record.session, None)
 
     @rule(connection=st.integers(0, 2))
@@ -136,29 +136,29 @@
     @rule(data=st.data())
     def session_ends(self, data: Any) -> None:
         session = self._pick(data)
-        if self.sessions.end(self.now, session, OVER):
+        if self.sessions.end_session(self.now, session, OVER):
             self.owed[session] = self.now
 
     @precondition(lambda self: self.ids)
     @rule(data=st.data())
     def viewer_ends(self, data: Any) -> None:
         session = self._pick(data)
-        self.sessions.give_up(self.now, session)
+        self.sessions.end_by_viewer(self.now, session)
         self.owed.pop(session, None)
 
     @precondition(lambda self: self.ids)
     @rule(data=st.data())
     def acknowledge(self, data: Any) -> None:
         session = self._pick(data)
-        self.sessions.acknowledged(self.now, session)
+        self.sessions.release_acknowledged(self.now, session)
         self.owed.pop(session, None)
 
     @rule(connection=st.integers(0, 2))
     def connection_ends(self, connection: int) -> None:
         self.open_connections.discard(connection)
         end = self.sessions.connection_ended(self.now, connection)
-        assert all(self.sessions.find(session) is None for session in end.given_up)
-        assert set(end.resend) <= set(self.sessions.pending)
+        assert all(self.sessions.find(session) is None for session in end.ended_requests)
+        assert set(end.resend) <= set(self.sessions.pending_releases)
 
     @invariant()
     def no_invariant_is_violated(self) -> None:
@@ -170,16 +170,16 @@
 
     @invariant()
     def what_is_owed_is_pending(self) -> None:
-        assert set(self.owed) <= set(self.sessions.pending) | self._expired()
+        assert set(self.owed) <= set(self.sessions.pending_releases) | self._expired()
 
     def _expired(self) -> set[str]:
-        return {session for session, since in self.owed.items() if self.now - since > SENT_FOR}
+        return {session for session, since in self.owed.items() if self.now - since > ACK_TIMEOUT_US}
 
     @invariant()
     def open_set_ups_are_on_open_connections(self) -> None:
         for connection in (0, 1, 2):
             if connection not in self.open_connections:
-                assert not self.sessions.is_open_on(connection)
+                assert not self.sessions.has_open_requests(connection)
 
 
 TestAnyOrder = AnyOrder.TestCase
--- a/tests/soak/mutants.py
+++ b/tests/soak/mutants.py
@@ -52,15 +52,16 @@
     original = Sessions.connection_ended
 
     def connection_ended(self: Any, now: int, connection: Any) -> ConnectionEnd:
-        pending = {session: self._records[session].sent_at for session in self.pending}
+        pending = {session: self._records[session].sent_at for session in self.pending_releases}
         end = original(self, now, connection)
         for session, sent_at in pending.items():
             self._records[session].sent_at = sent_at
-        return ConnectionEnd(end.given_up, ())
+        return ConnectionEnd(end.ended_requests, ())
 
     Sessions.connection_ended = connection_ended  # type: ignore[method-assign]
-    Sessions.due = lambda self, now: [one for one in self._records.values() if one.session in self._pending  # type: ignore[method-assign]
-                                      and one.sent_at is None]  # fmt: skip
+    Sessions.due_releases = lambda self, now: [  # type: ignore[method-assign]
+        one for one in self._records.values() if one.session in self._pending and one.sent_at is None
+    ]
 
 
 def answers_twice() -> None:
@@ -68,7 +69,7 @@
     reply = Viewers._reply
 
     def twice(self: Any, session: str, answer: Any) -> None:
-        connection = self.sessions.waits(session)
+        connection = self.sessions.waiting_connection(session)
         reply(self, session, answer)
         if connection is not None and answer.kind == "playing":
             from ponddoor.node import viewer_codec
