--- a/ponddoor/obligations/__init__.py
+++ b/ponddoor/obligations/__init__.py
@@ -1,1 +1,1 @@
-"""What a front owes to its viewers, free of I/O: one record for each request, one owner for its state."""
+"""The obligations of a front towards its viewers: answers, releases, leases and the drain. Does no I/O."""
--- a/ponddoor/obligations/drain.py
+++ b/ponddoor/obligations/drain.py
@@ -1,32 +1,35 @@
-"""The schedule of a shutdown, made once at SIGTERM from the settings. Times in microseconds.
+"""The schedule of a shutdown, made once at SIGTERM from the settings. Times are in microseconds.
 
-Source: the platform's protocol page, "Figures". New connections come for up to 0.4 s after SIGTERM and
-set-ups for 0.2 s more; SIGKILL comes no sooner than the longest deadline (3 s at most) and 0.7 s after
-SIGTERM; what it finds unanswered is lost if it came more than 0.7 s after SIGTERM."""
+Source: the platform's protocol page, "Figures". New connections arrive for up to 0.4 s after SIGTERM, and
+set-ups for 0.2 s more. SIGKILL comes no sooner than 0.7 s plus the longest deadline, of which at most 3 s
+count, after SIGTERM. A set-up that SIGKILL finds unanswered is lost if it arrived more than 0.7 s after
+SIGTERM."""
 
 from dataclasses import dataclass
 from enum import Enum
 
 SECOND = 1_000_000
-KILL_DELAY_US = 700_000
+KILL_DELAY_US = 700_000  # from SIGTERM and the longest deadline to SIGKILL
 MAX_COUNTED_DEADLINE_US = 3 * SECOND
-FORWARDING_DURATION_US = 700_000  # after this a set-up that SIGKILL finds unanswered is lost
-MIN_ATTEMPT_TIME_US = 100_000  # less than this is not worth an attempt
-KILL_MARGIN_US = 300_000  # kept before SIGKILL, for a process that gets little processor time
+FORWARDING_DURATION_US = 700_000  # a set-up that arrives later is lost if SIGKILL finds it unanswered
+MIN_ATTEMPT_TIME_US = 100_000  # a shorter attempt is not worth making
+KILL_MARGIN_US = 300_000  # from the last answer to SIGKILL, as the process may get little processor time
 
 
 class DrainPhase(Enum):
-    """What is done with set-ups and connections."""
+    """How set-ups and connections are handled."""
 
     SERVING = "serving"  # no shutdown
     FORWARDING = "forwarding"  # set-ups are forwarded, with the time that is left
-    REFUSING = "refusing"  # set-ups are refused at once, idle connections close, nobody new is accepted
-    CLOSING = "closing"  # everything is answered, every connection closes, the process ends
+    REFUSING = "refusing"  # set-ups are refused, idle connections close, no new ones are accepted
+    CLOSING = "closing"  # every open set-up is answered, every connection closes, the process ends
 
 
 @dataclass(frozen=True, slots=True)
 class DrainSchedule:
-    """When each phase of a shutdown begins."""
+    """The times of one shutdown: FORWARDING until `refuse_from`, REFUSING until `answer_by`, then CLOSING.
+
+    SIGKILL has to be expected from `kill_at` on."""
 
     sigterm_at: int
     refuse_from: int
@@ -35,18 +38,18 @@
 
     @classmethod
     def after_sigterm(cls, sigterm_at: int, longest_deadline: int) -> "DrainSchedule":
-        """The schedule for a SIGTERM at `sigterm_at` where no class waits longer than `longest_deadline`."""
+        """The schedule for a SIGTERM at `sigterm_at` if no set-up waits longer than `longest_deadline`."""
         kill_at = sigterm_at + min(longest_deadline, MAX_COUNTED_DEADLINE_US) + KILL_DELAY_US
         answer_by = kill_at - KILL_MARGIN_US
         refuse_from = min(sigterm_at + FORWARDING_DURATION_US, answer_by - MIN_ATTEMPT_TIME_US)
         return cls(sigterm_at, refuse_from, answer_by, kill_at)
 
     def phase(self, now: int) -> DrainPhase:
-        """The phase at a moment."""
+        """The phase at `now`, which is not before SIGTERM."""
         if now < self.refuse_from:
             return DrainPhase.FORWARDING
         return DrainPhase.REFUSING if now < self.answer_by else DrainPhase.CLOSING
 
     def limit_wait(self, now: int, wait: int) -> int:
-        """How long a set-up that would wait `wait` may wait: all is answered by `answer_by`."""
+        """Limit the time that a set-up may wait so that it is answered by `answer_by`; at least 1 us."""
         return max(1, min(wait, self.answer_by - now))
--- a/ponddoor/obligations/sessions.py
+++ b/ponddoor/obligations/sessions.py
@@ -1,11 +1,12 @@
-"""Every request and session that a front answers for, with its state and its deadline. Free of I/O.
+"""The state and the deadline of every request and session that a front answers for. Does no I/O.
 
-A request belongs to the connection that it came by: it is answered there and given up with it. A session
-that stands belongs to none; the release that ends it is pending until its viewer acknowledges it, and is sent
-again on another connection where the one it was written to ends or stays silent (the platform's protocol
-page: what ends a session may be sent on any connection from viewers, within 1 s).
+A request belongs to the connection that it was received on: it is answered there and ends with it. A session
+that stands belongs to no connection. The release that ends it is pending until its viewer acknowledges it,
+and is sent again on another connection if the one that it was written to ends or no acknowledgement comes in
+time (the platform's protocol page: what ends a session may be sent on any connection from viewers, within
+1 s).
 
-Times are microseconds. Each method is one whole transition; nothing else may change a record."""
+Times are in microseconds. Each method makes one whole transition; nothing else may change a record."""
 
 from collections import deque
 from collections.abc import Hashable
@@ -16,17 +17,17 @@
 from ponddoor.obligations.violations import Invariant, Violations
 
 SECOND = 1_000_000
-RESEND_INTERVAL_US = SECOND // 5  # without an acknowledgement; four of these fit into the second of the rule
-SETTLE_AFTER_US = SECOND // 2  # how long a connection must outlive a release that nobody acknowledges
-RELEASE_DEADLINE_US = SECOND
-UNSENT_RELEASE_TIMEOUT_US = 30 * SECOND  # a release that no connection takes
-ACK_TIMEOUT_US = 8 * SECOND  # a release that was sent and never acknowledged
-MAX_REPEATS = 4  # for want of an acknowledgement; more only where a connection ends
+RESEND_INTERVAL_US = SECOND // 5  # without an acknowledgement; four of these fit into RELEASE_DEADLINE_US
+SETTLE_AFTER_US = SECOND // 2  # if viewers don't acknowledge: from writing a release to closing its record
+RELEASE_DEADLINE_US = SECOND  # from the end of a session to its release
+UNSENT_RELEASE_TIMEOUT_US = 30 * SECOND  # for a release that could be written to no connection
+ACK_TIMEOUT_US = 8 * SECOND  # for a release that was written but is not acknowledged
+MAX_REPEATS = 4  # for lack of an acknowledgement; more are sent only if a connection ends
 MAX_PENDING_RELEASES = 4096
-EARLY_RELEASE_TIMEOUT_US = SECOND  # how long a release is remembered whose session is not known yet
+EARLY_RELEASE_TIMEOUT_US = SECOND  # a viewer's release of a session not known yet is remembered this long
 MAX_EARLY_RELEASES = 4096
-MAX_TRANSITIONS = 8  # transitions kept of a record
-ANSWER_GRACE_US = 200_000  # after its deadline a request without an answer is an error of ours
+MAX_TRANSITIONS = 8  # kept of each record
+ANSWER_GRACE_US = 200_000  # a request unanswered this long after its deadline is an internal fault
 
 ConnectionT = TypeVar("ConnectionT", bound=Hashable)
 
@@ -34,10 +35,10 @@
 class Phase(Enum):
     """The state of a record."""
 
-    RECEIVED = "received"  # read whole; the decisions have not been asked yet
-    WAITING = "waiting"  # the decisions have it
+    RECEIVED = "received"  # read completely, but not submitted to the engine yet
+    WAITING = "waiting"  # submitted to the engine
     STANDING = "standing"  # answered: the session plays
-    RELEASING = "releasing"  # over; its viewer has not been heard to know
+    RELEASING = "releasing"  # the session has ended; its viewer has not acknowledged that
     CLOSED = "closed"
 
 
@@ -45,10 +46,10 @@
     """Why a record was closed."""
 
     ANSWERED = "answered"
-    GIVEN_UP = "given-up"
+    WITHDRAWN = "given-up"
     ENDED_BY_VIEWER = "ended-by-viewer"
     ACKNOWLEDGED = "acknowledged"
-    SETTLED = "settled"  # the connection outlived the release; nobody here acknowledges
+    SETTLED = "settled"  # viewers do not acknowledge; the connection lasted SETTLE_AFTER_US after the release
     EXPIRED = "expired"
 
 
@@ -64,23 +65,23 @@
 
 @dataclass(slots=True)
 class Record(Generic[ConnectionT]):
-    """One request, and the session that came of it."""
+    """One request, and the session that it led to."""
 
     session: str
     phase: Phase
     phase_since: int
-    deadline: int  # of the phase
+    deadline: int  # of the answer, or of the release once the session has ended
     connection: ConnectionT | None
-    release_message: bytes = b""  # the release, while it is pending
-    expects_ack: bool = True  # whether viewers acknowledge such a message
-    sent_at: int | None = None
-    sent_on: list[ConnectionT] = field(default_factory=list)
+    release_message: bytes = b""  # while the release is pending
+    expects_ack: bool = True  # whether viewers acknowledge this kind of message
+    sent_at: int | None = None  # None if the release has to be sent
+    sent_on: list[ConnectionT] = field(default_factory=list)  # one entry for each time it was sent
     history: "deque[str]" = field(default_factory=lambda: deque(maxlen=MAX_TRANSITIONS))
 
 
 @dataclass(frozen=True, slots=True)
 class ConnectionEnd:
-    """What the end of a connection leaves: set-ups that end with it, releases to be sent on another."""
+    """The requests that ended with a connection, and the sessions whose release has to be sent again."""
 
     ended_requests: tuple[str, ...]
     resend: tuple[str, ...]
@@ -92,143 +93,158 @@
 
     violations: Violations = field(default_factory=Violations)
     counts: dict[str, int] = field(default_factory=dict)
-    viewers_acknowledge: bool = False  # whether viewers have been heard to acknowledge releases
+    viewers_acknowledge: bool = False  # whether any viewer has acknowledged a release yet
     _records: dict[str, Record[ConnectionT]] = field(default_factory=dict)
-    _open_on: dict[ConnectionT, dict[str, None]] = field(default_factory=dict)
-    _standing_on: dict[ConnectionT, dict[str, None]] = field(default_factory=dict)
-    _received: dict[str, None] = field(default_factory=dict)
+    _open_by_connection: dict[ConnectionT, dict[str, None]] = field(default_factory=dict)
+    _standing_by_connection: dict[ConnectionT, dict[str, None]] = field(default_factory=dict)
+    _unsubmitted: dict[str, None] = field(default_factory=dict)
     _pending: dict[str, None] = field(default_factory=dict)
-    _early: dict[str, int] = field(default_factory=dict)
+    _early_releases: dict[str, int] = field(default_factory=dict)
 
-    # What may be looked at
+    # Queries
 
     def find(self, session: str) -> Record[ConnectionT] | None:
-        """The record of a session that is not closed."""
+        """The record of a session, None if it is closed or unknown."""
         return self._records.get(session)
 
     def waiting_connection(self, session: str) -> ConnectionT | None:
-        """The connection on which a set-up is open."""
+        """The connection on which the request for this session is open, None if it is not open."""
         record = self._records.get(session)
         return record.connection if record is not None and record.phase in OPEN_PHASES else None
 
     def open_requests_on(self, connection: ConnectionT) -> tuple[str, ...]:
-        """The set-ups that are open on a connection."""
-        return tuple(self._open_on.get(connection, ()))
+        """The sessions whose requests are open on a connection."""
+        return tuple(self._open_by_connection.get(connection, ()))
 
     def has_open_requests(self, connection: ConnectionT) -> bool:
-        """Whether a set-up is open on a connection."""
-        return connection in self._open_on
+        """Whether a request is open on a connection."""
+        return connection in self._open_by_connection
 
     def has_standing_sessions(self, connection: ConnectionT) -> bool:
-        """Whether a session that stands came by a connection."""
-        return connection in self._standing_on
+        """Whether a session stands that was requested on a connection."""
+        return connection in self._standing_by_connection
 
     def open_requests(self) -> list[str]:
-        """All set-ups without an answer."""
-        return [session for sessions in self._open_on.values() for session in sessions]
+        """The sessions of all requests without an answer."""
+        return [session for sessions in self._open_by_connection.values() for session in sessions]
 
     @property
     def received_count(self) -> int:
-        """Set-ups that the decisions have not been asked about yet."""
-        return len(self._received)
+        """The number of requests that are not submitted to the engine yet."""
+        return len(self._unsubmitted)
 
     @property
     def standing_count(self) -> int:
-        """Sessions that stand."""
+        """The number of sessions that stand."""
         return sum(record.phase is Phase.STANDING for record in self._records.values())
 
     @property
     def pending_releases(self) -> tuple[str, ...]:
-        """Sessions whose release has not been heard."""
+        """The sessions whose release is not sent, or is sent but not acknowledged."""
         return tuple(self._pending)
 
     # Requests
 
     def receive(self, now: int, session: str, connection: ConnectionT, wait: int) -> None:
-        """A set-up was read whole; its viewer waits `wait`."""
+        """Register a request that was read completely; its viewer waits `wait` for the answer."""
         if session in self._records:
-            self._violated(Invariant.LEGAL_TRANSITION, self._records[session], "received again")
+            self._report_violation(
+                Invariant.LEGAL_TRANSITION, self._records[session], "a request with the same id was received"
+            )
             return
         record = Record(session, Phase.RECEIVED, now, now + wait, connection)
         self._records[session] = record
-        self._received[session] = None
-        self._open_on.setdefault(connection, {})[session] = None
-        self._note(record, now, "received")
+        self._unsubmitted[session] = None
+        self._open_by_connection.setdefault(connection, {})[session] = None
+        self._record_transition(record, now, "received")
 
     def submit(self, now: int, session: str) -> bool:
-        """The decisions are asked; False where it has ended by now."""
+        """Record that a request is submitted to the engine. Returns False if it has ended by now."""
         record = self._records.get(session)
         if record is None or record.phase is not Phase.RECEIVED:
             return False
-        return self._move(record, now, Phase.WAITING, "submitted")
+        return self._transition(record, now, Phase.WAITING, "submitted")
 
     def answer(self, now: int, session: str, stands: bool) -> ConnectionT | None:
-        """The one answer to a set-up: the connection it goes to, None where nobody waits."""
+        """Record the answer to a request; with `stands`, its session stands from now on.
+
+        Returns the connection to write the answer to, None if the request is not open."""
         record = self._records.get(session)
         if record is None or record.phase not in OPEN_PHASES:
             if record is not None:
-                self._violated(Invariant.ONE_ANSWER, record, "answered again")
+                self._report_violation(Invariant.ONE_ANSWER, record, "its request was answered a second time")
             return None
         connection = record.connection
-        self._forget_open(record)
+        self._unindex_open(record)
         if not stands:
             self._close(record, now, CloseReason.ANSWERED)
             return connection
         if record.phase is Phase.RECEIVED:
-            self._violated(Invariant.LEGAL_TRANSITION, record, "stands without the decisions")
-            self._move(record, now, Phase.WAITING, "submitted")
-        self._move(record, now, Phase.STANDING, "answered: stands")
-        self._stand_on(record)
+            self._report_violation(
+                Invariant.LEGAL_TRANSITION, record, "its request was answered before it was submitted"
+            )
+            self._transition(record, now, Phase.WAITING, "submitted")
+        self._transition(record, now, Phase.STANDING, "answered: session stands")
+        self._index_standing(record)
         return connection
 
     def end_by_viewer(self, now: int, session: str) -> Phase | None:
-        """Its viewer is done, with waiting or with the session: the phase it was in, None if not known."""
+        """End a request or session that its viewer has ended. Returns its phase until now, None if unknown.
+
+        A release of an unknown session is remembered, since its hand-over may be read only after it."""
         record = self._records.get(session)
         if record is None:
-            self._remember_early(now, session)
+            self._remember_early_release(now, session)
             return None
         phase = record.phase
-        self._forget_open(record)
+        self._unindex_open(record)
         self._close(
-            record, now, CloseReason.GIVEN_UP if phase in OPEN_PHASES else CloseReason.ENDED_BY_VIEWER
+            record, now, CloseReason.WITHDRAWN if phase in OPEN_PHASES else CloseReason.ENDED_BY_VIEWER
         )
         return phase
 
     def overdue_requests(self, now: int) -> list[str]:
-        """Set-ups whose time is over and that nobody has answered: a violation, to be answered at once."""
-        late = []
-        for sessions in self._open_on.values():
+        """Report requests that are not answered within ANSWER_GRACE_US of their deadline as violations.
+
+        Returns their sessions; the caller has to answer them at once."""
+        overdue = []
+        for sessions in self._open_by_connection.values():
             for session in sessions:
                 record = self._records[session]
                 if now > record.deadline + ANSWER_GRACE_US:
-                    self._violated(Invariant.ANSWERED_IN_TIME, record, "its time is over")
-                    late.append(session)
-        return late
+                    self._report_violation(
+                        Invariant.ANSWERED_IN_TIME,
+                        record,
+                        f"its request is unanswered {(now - record.deadline) // 1000} ms after its deadline",
+                    )
+                    overdue.append(session)
+        return overdue
 
     # Sessions
 
     def hand_over(self, now: int, session: str, connection: ConnectionT) -> bool:
-        """A session that stands already; False where its viewer has ended it before it was known."""
+        """Register a session that stands already. Returns False if its viewer's release was read before."""
         if session in self._records:
             return True
         record = Record(session, Phase.STANDING, now, now, connection)
         self._records[session] = record
-        self._note(record, now, "handed over")
-        if self._early.pop(session, -EARLY_RELEASE_TIMEOUT_US) > now - EARLY_RELEASE_TIMEOUT_US:
+        self._record_transition(record, now, "handed over")
+        if self._early_releases.pop(session, -EARLY_RELEASE_TIMEOUT_US) > now - EARLY_RELEASE_TIMEOUT_US:
             self._close(record, now, CloseReason.ENDED_BY_VIEWER)
             return False
-        self._stand_on(record)
+        self._index_standing(record)
         return True
 
     def end_session(self, now: int, session: str, message: bytes, expects_ack: bool = True) -> bool:
-        """A session that stood is over, and its viewer is owed `message`; False where nobody is.
+        """End a session that stands, and make its release `message` due.
 
-        `expects_ack` tells whether viewers acknowledge such a message at all."""
+        `expects_ack` is whether viewers acknowledge this kind of message. Returns False if the session
+        does not stand."""
         record = self._records.get(session)
         if record is None or record.phase is not Phase.STANDING:
             return False
-        self._forget_standing(record)
-        self._move(record, now, Phase.RELEASING, "over")
+        self._unindex_standing(record)
+        self._transition(record, now, Phase.RELEASING, "session ended")
         record.deadline, record.release_message = now + RELEASE_DEADLINE_US, message
         record.expects_ack = expects_ack
         self._pending[session] = None
@@ -238,7 +254,7 @@
         return True
 
     def end_without_release(self, now: int, session: str) -> None:
-        """A session is over and its viewer is owed nothing: it ended it."""
+        """End a session whose viewer has ended it and so needs no release."""
         record = self._records.get(session)
         if record is not None and record.phase is Phase.STANDING:
             self._close(record, now, CloseReason.ENDED_BY_VIEWER)
@@ -246,26 +262,28 @@
     # Releases
 
     def due_releases(self, now: int) -> list[Record[ConnectionT]]:
-        """Releases to be sent now: not sent yet, or not acknowledged in time."""
-        found = []
+        """The records of the releases to be sent now: not sent yet, or not acknowledged in time.
+
+        Closes records whose release has timed out or settled."""
+        due = []
         for session in list(self._pending):
             record = self._records[session]
             if record.sent_at is None:
                 if now - record.phase_since > UNSENT_RELEASE_TIMEOUT_US:
                     self._close(record, now, CloseReason.EXPIRED)
                 else:
-                    found.append(record)
+                    due.append(record)
             elif self.viewers_acknowledge and record.expects_ack:
                 if now - record.phase_since > ACK_TIMEOUT_US:
                     self._close(record, now, CloseReason.EXPIRED)
                 elif now - record.sent_at >= RESEND_INTERVAL_US and len(record.sent_on) <= MAX_REPEATS:
-                    found.append(record)
+                    due.append(record)
             elif now - record.sent_at >= SETTLE_AFTER_US:
                 self._close(record, now, CloseReason.SETTLED)
-        return found
+        return due
 
     def release_sent(self, now: int, session: str, connection: ConnectionT) -> None:
-        """A release was written to a connection."""
+        """Record that a release was written to a connection."""
         record = self._records.get(session)
         if record is None or record.phase is not Phase.RELEASING:
             return
@@ -274,10 +292,12 @@
         self.count("release-sent" if not record.sent_on else "release-repeated")
         record.connection, record.sent_at = connection, now
         record.sent_on.append(connection)
-        self._note(record, now, "release sent" if len(record.sent_on) == 1 else "release repeated")
+        self._record_transition(
+            record, now, "release sent" if len(record.sent_on) == 1 else "release repeated"
+        )
 
     def release_acknowledged(self, now: int, session: str) -> None:
-        """A viewer has heard a release."""
+        """Record that a viewer has acknowledged a release."""
         self.viewers_acknowledge = True
         record = self._records.get(session)
         if record is not None and record.phase is Phase.RELEASING:
@@ -288,11 +308,11 @@
     # Connections
 
     def connection_ended(self, now: int, connection: ConnectionT) -> ConnectionEnd:
-        """A connection is gone: its open set-ups end, releases written to it and not heard are due again."""
+        """End the open requests of a closed connection, and make its unacknowledged releases due again."""
         ended_requests = self.open_requests_on(connection)
         for session in ended_requests:
             self.end_by_viewer(now, session)
-        for session in self._standing_on.pop(connection, {}):
+        for session in self._standing_by_connection.pop(connection, {}):
             self._records[session].connection = None
         resend = []
         for session in self._pending:
@@ -303,67 +323,75 @@
         return ConnectionEnd(ended_requests, tuple(resend))
 
     def connection_closing(self, connection: ConnectionT) -> None:
-        """The front is about to close a connection: no set-up may be open on it."""
+        """The front is about to close a connection. Reports each request open on it as a violation."""
         for session in self.open_requests_on(connection):
             record = self._records[session]
-            self._violated(Invariant.CLOSED_WITHOUT_WAITING, record, "closed without an answer")
+            self._report_violation(
+                Invariant.CLOSED_WITHOUT_WAITING,
+                record,
+                "its connection is closed before its request is answered",
+            )
 
-    # Inside
+    # Internals
 
-    def count(self, what: str) -> None:
-        """Count what became of requests and releases."""
-        self.counts[what] = self.counts.get(what, 0) + 1
+    def count(self, event: str) -> None:
+        """Increment the counter of `event`."""
+        self.counts[event] = self.counts.get(event, 0) + 1
 
-    def _move(self, record: Record[ConnectionT], now: int, phase: Phase, what: str) -> bool:
+    def _transition(self, record: Record[ConnectionT], now: int, phase: Phase, event: str) -> bool:
         if phase not in ALLOWED_TRANSITIONS[record.phase]:
-            self._violated(Invariant.LEGAL_TRANSITION, record, f"{record.phase.value} to {phase.value}")
+            self._report_violation(
+                Invariant.LEGAL_TRANSITION, record, f"{record.phase.value} to {phase.value}"
+            )
             return False
         if record.phase is Phase.RECEIVED:
-            self._received.pop(record.session, None)
+            self._unsubmitted.pop(record.session, None)
         record.phase, record.phase_since = phase, now
-        self._note(record, now, what)
+        self._record_transition(record, now, event)
         return True
 
     def _close(self, record: Record[ConnectionT], now: int, reason: CloseReason) -> None:
-        self._forget_standing(record)
+        self._unindex_standing(record)
         self._pending.pop(record.session, None)
-        self._move(record, now, Phase.CLOSED, reason.value)
+        self._transition(record, now, Phase.CLOSED, reason.value)
         self._records.pop(record.session, None)
         self.count(reason.value)
 
-    def _stand_on(self, record: Record[ConnectionT]) -> None:
+    def _index_standing(self, record: Record[ConnectionT]) -> None:
         if record.connection is not None:
-            self._standing_on.setdefault(record.connection, {})[record.session] = None
+            self._standing_by_connection.setdefault(record.connection, {})[record.session] = None
 
-    def _forget_open(self, record: Record[ConnectionT]) -> None:
-        self._forget_in(self._open_on, record)
+    def _unindex_open(self, record: Record[ConnectionT]) -> None:
+        self._unindex(self._open_by_connection, record)
 
-    def _forget_standing(self, record: Record[ConnectionT]) -> None:
-        self._forget_in(self._standing_on, record)
+    def _unindex_standing(self, record: Record[ConnectionT]) -> None:
+        self._unindex(self._standing_by_connection, record)
 
     @staticmethod
-    def _forget_in(table: dict[ConnectionT, dict[str, None]], record: Record[ConnectionT]) -> None:
+    def _unindex(
+        sessions_by_connection: dict[ConnectionT, dict[str, None]], record: Record[ConnectionT]
+    ) -> None:
         if record.connection is None:
             return
-        sessions = table.get(record.connection)
+        sessions = sessions_by_connection.get(record.connection)
         if sessions is not None:
             sessions.pop(record.session, None)
             if not sessions:
-                del table[record.connection]
+                del sessions_by_connection[record.connection]
 
-    def _remember_early(self, now: int, session: str) -> None:
-        self._early[session] = now
-        while self._early:
-            oldest = next(iter(self._early))
+    def _remember_early_release(self, now: int, session: str) -> None:
+        self._early_releases[session] = now
+        while self._early_releases:
+            oldest = next(iter(self._early_releases))
             if (
-                len(self._early) <= MAX_EARLY_RELEASES
-                and self._early[oldest] > now - EARLY_RELEASE_TIMEOUT_US
+                len(self._early_releases) <= MAX_EARLY_RELEASES
+                and self._early_releases[oldest] > now - EARLY_RELEASE_TIMEOUT_US
             ):
                 break
-            del self._early[oldest]
+            del self._early_releases[oldest]
 
-    def _note(self, record: Record[ConnectionT], now: int, what: str) -> None:
-        record.history.append(f"{now} {what}")
+    def _record_transition(self, record: Record[ConnectionT], now: int, event: str) -> None:
+        record.history.append(f"{now} {event}")
 
-    def _violated(self, invariant: Invariant, record: Record[ConnectionT], detail: str) -> None:
+    def _report_violation(self, invariant: Invariant, record: Record[ConnectionT], detail: str) -> None:
         self.violations.add(invariant, record.session, detail, tuple(record.history))
--- a/tests/obligations/test_completeness.py
+++ b/tests/obligations/test_completeness.py
@@ -40,12 +40,12 @@
 
 class TriesOnce(Completeness):
     def refresh_began(self, now: int) -> None:
-        self._retry_at = now + REFRESH_INTERVAL_US
+        self._next_refresh_at = now + REFRESH_INTERVAL_US
 
 
 class FirstMessageSettles(Completeness):
     def message_received(self, now: int, opened_at: int, age: int, on_refresh: bool) -> None:
-        self._spoke_at = 0
+        self._silence_ended_at = 0
         super().message_received(now, opened_at, age, on_refresh)
 
 
@@ -63,7 +63,7 @@
 
 class WaitsBehindSilence(Completeness):
     def silence_ended(self, now: int) -> None:
-        self._spoke_at, self._retry_at = now, now + 4 * SECOND
+        self._silence_ended_at, self._next_refresh_at = now, now + 4 * SECOND
 
 
 GUARDS_TAKEN_OUT = (
--- a/tests/obligations/test_lease.py
+++ b/tests/obligations/test_lease.py
@@ -38,18 +38,18 @@
 class AsksNothingOnNewConnections(Lease):
     def connected(self, now: int) -> bool:
         super().connected(now)
-        self._asked_at = 1 << 60
+        self._sign_requested_at = 1 << 60
         return False
 
 
 class JudgesItsOwnStanding(Lease):
-    def _excuse(self, now: int) -> None:
+    def _extend_after_pause(self, now: int) -> None:
         pass
 
 
 class ExcusesEachLook(Lease):
-    def _excuse(self, now: int) -> None:
-        self.expires_at = max(self.expires_at, now + LEASE_DURATION_US - self.quiet_limit)
+    def _extend_after_pause(self, now: int) -> None:
+        self.expires_at = max(self.expires_at, now + LEASE_DURATION_US - self.sign_of_life_after)
 
 
 class RenewsOnAsking(Lease):
--- a/tests/soak/mutants.py
+++ b/tests/soak/mutants.py
@@ -145,9 +145,9 @@
     """Bytes that are no message are taken for such a proof."""
     record_event = Lease.record_event
 
-    def renewing(self: Any, now: int, sign: LeaseEvent, detail: str = "") -> None:
-        record_event(self, now, sign, detail)
-        if sign is LeaseEvent.MALFORMED_INPUT:
+    def renewing(self: Any, now: int, event: LeaseEvent, detail: str = "") -> None:
+        record_event(self, now, event, detail)
+        if event is LeaseEvent.MALFORMED_INPUT:
             self.message_received(now)
 
     Lease.record_event = renewing  # type: ignore[method-assign]
