--- a/ponddoor/obligations/violations.py
+++ b/ponddoor/obligations/violations.py
@@ -8,7 +8,7 @@
 class Invariant(Enum):
     """What must hold for every request, session and lease, under the names written to the log."""
 
-    LEGAL_TRANSITION = "legal-transition"  # a record changes only as ALLOWED_TRANSITIONS permits
+    LEGAL_TRANSITION = "legal-transition"  # a record changes only as `sessions.ALLOWED_TRANSITIONS` permits
     ONE_ANSWER = "one-answer"  # a request is answered once
     ANSWERED_IN_TIME = "answered-in-time"  # a request is answered by its deadline
     LEASE_IN_TIME = "lease-in-time"  # no session stands at a server whose lease is over
--- a/tests/obligations/test_drain.py
+++ b/tests/obligations/test_drain.py
@@ -18,7 +18,7 @@
     assert phases == sorted(phases, key=list(DrainPhase).index)
 
 
-def test_set_ups_are_forwarded_until_700_ms_after_sigterm() -> None:
+def test_requests_are_forwarded_until_700_ms_after_sigterm() -> None:
     drain = DrainSchedule.after_sigterm(0, 3 * SECOND)
     assert drain.phase(699_999) is DrainPhase.FORWARDING and drain.phase(700_000) is DrainPhase.REFUSING
 
@@ -26,12 +26,12 @@
 @pytest.mark.parametrize(
     ("now", "wait", "limited_wait"), [(0, SECOND, SECOND), (600_000, 3 * SECOND, 2_800_000)]
 )
-def test_wait_of_a_set_up_is_limited_by_the_time_of_the_last_answer(
+def test_wait_of_a_request_is_limited_by_the_time_of_the_last_answer(
     now: int, wait: int, limited_wait: int
 ) -> None:
     assert DrainSchedule.after_sigterm(0, 3 * SECOND).limit_wait(now, wait) == limited_wait
 
 
-def test_wait_of_a_set_up_after_the_last_answer_is_the_minimum() -> None:
+def test_wait_of_a_request_after_the_last_answer_is_the_minimum() -> None:
     drain = DrainSchedule.after_sigterm(0, 3 * SECOND)
     assert drain.limit_wait(drain.answer_by + 5, SECOND) == 1
