--- a/ponddoor/node/process.py
+++ b/ponddoor/node/process.py
@@ -145,8 +145,8 @@
             "told-to-end",
             in_hand=self.engine.requests_in_hand,
             held=self.engine.sessions_held,
-            refuse_in_ms=(self.drain.refuse_from - self.drain.told_at) // 1000,
-            answer_in_ms=(self.drain.answer_by - self.drain.told_at) // 1000,
+            refuse_in_ms=(self.drain.refuse_from - self.drain.sigterm_at) // 1000,
+            answer_in_ms=(self.drain.answer_by - self.drain.sigterm_at) // 1000,
         )
 
     def _follow_signals(self, path: Path, early: Sequence[EarlySignal]) -> None:
@@ -233,7 +233,7 @@
         return not (
             self.engine.sessions_held
             or viewers.has_unfinished_requests
-            or viewers.sessions.pending
+            or viewers.sessions.pending_releases
             or self.servers.unsent
         )
 
@@ -242,7 +242,7 @@
         log.info(
             "state", in_hand=self.engine.requests_in_hand, held=self.engine.sessions_held,
             viewers=len(viewers.connections), servers=len(servers.links),
-            releases_pending=len(viewers.sessions.pending),
+            releases_pending=len(viewers.sessions.pending_releases),
             sessions=viewers.sessions.counts, violations=viewers.sessions.violations.counts,
             lag_us=self._max_lag_us, memory_kb=self.memory.resident_kb(),
             faults=counts.faults, answers=counts.answers, setups=counts.setups, stray=counts.stray,
--- a/tests/node/conftest.py
+++ b/tests/node/conftest.py
@@ -35,13 +35,13 @@
 CLOSE_TIMEOUT_US = 50_000
 PATCHED_LIMITS = {
     "board_silence_timeout_s": (node_board, "SILENCE_TIMEOUT_S"),
-    "lease_us": (lease, "SILENT_LIMIT"),
-    "sign_of_life_after_us": (lease, "SIGN_OF_LIFE_AFTER"),
+    "lease_us": (lease, "LEASE_DURATION_US"),
+    "sign_of_life_after_us": (lease, "SIGN_OF_LIFE_AFTER_US"),
     "address_reuse_timeout_us": (node_server_link, "ADDRESS_REUSE_TIMEOUT_US"),
     "silent_connection_timeout_us": (node_viewers, "SILENT_CONNECTION_TIMEOUT_US"),
     "partial_message_timeout_us": (node_viewers, "PARTIAL_MESSAGE_TIMEOUT_US"),
     "partial_line_timeout_us": (node_server_link, "PARTIAL_LINE_TIMEOUT_US"),
-    "forward_for_us": (drain, "FORWARD_FOR"),
+    "forward_for_us": (drain, "FORWARDING_DURATION_US"),
     "tick_interval_us": (node_process, "TICK_INTERVAL_US"),
     "reserved_descriptors": (node_process, "RESERVED_DESCRIPTORS"),
     "viewer_share_divisor": (node_process, "VIEWER_SHARE_DIVISOR"),
@@ -298,7 +298,7 @@
             "viewers": len(node.viewers.connections),
             "listed": len(node.discovery.roster.entries),
             "version": node.discovery.roster.version,
-            "standing": node.viewers.sessions.standing,
+            "standing": node.viewers.sessions.standing_count,
             "open_requests": len(node.viewers.sessions.open_requests()),
         }
 
--- a/tests/node/test_crossings.py
+++ b/tests/node/test_crossings.py
@@ -36,7 +36,7 @@
 from ponddoor.node import viewers as node_viewers
 from ponddoor.node import words as node_words
 from ponddoor.node.server_connection import ServerConnection
-from ponddoor.obligations.lease import Sign
+from ponddoor.obligations.lease import LeaseEvent
 from ponddoor.web import connecting
 from ponddoor.web.connecting import connect_within
 from ponddoor.web.timing import within
@@ -635,7 +635,7 @@
         newest = await connect_proven_viewer(harness)
         while len(harness.node.viewers.connections) > 16:
             await asyncio.sleep(0)
-        assert harness.node.viewers.sessions.waits(session_id("1")) is not None
+        assert harness.node.viewers.sessions.waiting_connection(session_id("1")) is not None
         await harness.step("S", "receives", "new", "1")
         await harness.step("S", "answers", "1")
         assert (await oldest.receive())[0] == 9
@@ -680,7 +680,7 @@
         viewer.send(setup_request("1"))
         await harness.step("S", "receives", "new", "1")
         await harness.step("S", "answers", "1")
-        while not harness.node.viewers.sessions.standing:
+        while not harness.node.viewers.sessions.standing_count:
             await asyncio.sleep(0)
         (connection,) = harness.node.viewers.connections.all
         viewer.send(READINESS_TEST * 100)  # unread when the node closes the connection
@@ -977,10 +977,12 @@
         assert held is not None
         link = harness.node.servers.links[held.server]
         link.lease.connect_timeout = connect_timeout
-        link.lease.heard(heard_at := clock())
+        link.lease.message_received(heard_at := clock())
         for elapsed, expected in ((due_after - 10_000, False), (due_after + 10_000, True)):
             link.tick(heard_at + elapsed, 60_000_000)
-            assert any(sign is Sign.ASKED for _, sign, _ in link.lease.signs) is expected, elapsed
+            assert any(sign is LeaseEvent.SIGN_REQUESTED for _, sign, _ in link.lease.events) is expected, (
+                elapsed
+            )
 
     run_steps(harness, steps)
 
@@ -1098,7 +1100,7 @@
         await start_node(harness)
         viewer, number = await connect_proven_viewer(harness), 3
         viewer.send(setup_request("1", at=f"s-{number:08x}"))
-        while not harness.node.viewers.sessions.standing:
+        while not harness.node.viewers.sessions.standing_count:
             await asyncio.sleep(0)
         await harness.start_server(number)
         await harness.step("b", "is-watched", "1")
--- a/tests/soak/mutants.py
+++ b/tests/soak/mutants.py
@@ -14,7 +14,7 @@
 from ponddoor.node.viewers import Viewers
 from ponddoor.obligations.completeness import Completeness
 from ponddoor.obligations.drain import DrainSchedule
-from ponddoor.obligations.lease import Lease, Sign
+from ponddoor.obligations.lease import Lease, LeaseEvent
 from ponddoor.obligations.sessions import ConnectionEnd, Sessions
 from ponddoor.platform import facts
 
@@ -22,9 +22,9 @@
 def forwards_until_the_kill() -> None:
     """Set-ups are forwarded through the whole shutdown, and connections stay open."""
 
-    def after_sigterm(told_at: int, longest_deadline: int) -> DrainSchedule:
-        late = told_at + 60_000_000
-        return DrainSchedule(told_at, late, late, late)
+    def after_sigterm(sigterm_at: int, longest_deadline: int) -> DrainSchedule:
+        late = sigterm_at + 60_000_000
+        return DrainSchedule(sigterm_at, late, late, late)
 
     DrainSchedule.after_sigterm = after_sigterm  # type: ignore[method-assign]
 
@@ -33,9 +33,9 @@
     """Set-ups are refused at once, but connections stay open until SIGKILL."""
     made = DrainSchedule.after_sigterm
 
-    def after_sigterm(told_at: int, longest_deadline: int) -> DrainSchedule:
-        drain = made(told_at, longest_deadline)
-        return DrainSchedule(told_at, drain.refuse_from, told_at + 60_000_000, drain.kill_at)
+    def after_sigterm(sigterm_at: int, longest_deadline: int) -> DrainSchedule:
+        drain = made(sigterm_at, longest_deadline)
+        return DrainSchedule(sigterm_at, drain.refuse_from, sigterm_at + 60_000_000, drain.kill_at)
 
     DrainSchedule.after_sigterm = after_sigterm  # type: ignore[method-assign]
     Viewers.close_idle = lambda self: None  # type: ignore[method-assign]
@@ -52,15 +52,16 @@
     original = Sessions.connection_ended
 
     def connection_ended(self: Any, now: int, connection: Any) -> ConnectionEnd:
-        pending = {session: self._records[session].sent_at for session in self.pending}
+        pending = {session: self._records[session].sent_at for session in self.pending_releases}
         end = original(self, now, connection)
         for session, sent_at in pending.items():
             self._records[session].sent_at = sent_at
-        return ConnectionEnd(end.given_up, ())
+        return ConnectionEnd(end.ended_requests, ())
 
     Sessions.connection_ended = connection_ended  # type: ignore[method-assign]
-    Sessions.due = lambda self, now: [one for one in self._records.values() if one.session in self._pending  # type: ignore[method-assign]
-                                      and one.sent_at is None]  # fmt: skip
+    Sessions.due_releases = lambda self, now: [  # type: ignore[method-assign]
+        one for one in self._records.values() if one.session in self._pending and one.sent_at is None
+    ]
 
 
 def answers_twice() -> None:
@@ -68,7 +69,7 @@
     reply = Viewers._reply
 
     def twice(self: Any, session: str, answer: Any) -> None:
-        connection = self.sessions.waits(session)
+        connection = self.sessions.waiting_connection(session)
         reply(self, session, answer)
         if connection is not None and answer.kind == "playing":
             from ponddoor.node import viewer_codec
@@ -133,7 +134,7 @@
     connected = Lease.connected
 
     def renewing(self: Any, now: int) -> bool:
-        self.heard(now)
+        self.message_received(now)
         return connected(self, now)
 
     Lease.connected = renewing  # type: ignore[method-assign]
@@ -142,14 +143,14 @@
 
 def rubbish_renews_sessions() -> None:
     """Bytes that are no message are taken for such a proof."""
-    note = Lease.note
+    record_event = Lease.record_event
 
-    def renewing(self: Any, now: int, sign: Sign, detail: str = "") -> None:
-        note(self, now, sign, detail)
-        if sign is Sign.NO_MESSAGE:
-            self.heard(now)
+    def renewing(self: Any, now: int, event: LeaseEvent, detail: str = "") -> None:
+        record_event(self, now, event, detail)
+        if event is LeaseEvent.MALFORMED_INPUT:
+            self.message_received(now)
 
-    Lease.note = renewing  # type: ignore[method-assign]
+    Lease.record_event = renewing  # type: ignore[method-assign]
 
 
 def never_connects_anew() -> None:
@@ -163,7 +164,7 @@
     def proven(self: Any, now: int, opened_at: int, age: int, on_refresh: bool) -> None:
         self._prove(now)
 
-    Completeness.answered = proven  # type: ignore[method-assign]
+    Completeness.message_received = proven  # type: ignore[method-assign]
 
 
 MUTANTS: dict[str, Callable[[], None]] = {
