--- a/tests/following/conftest.py
+++ b/tests/following/conftest.py
@@ -40,20 +40,20 @@
         assert isinstance(version, int)
         return version
 
-    async def in_force(self, version: int) -> None:
+    async def wait_in_force(self, version: int) -> None:
         """Wait until all fronts have it."""
         await self.world.until(lambda: all(front.terms.version == version for front in self.world.fronts), 15)
 
     async def change(self, sets: dict[str, str], drops: tuple[str, ...] = ()) -> int:
         version = await self.commit(sets, drops)
-        await self.in_force(version)
+        await self.wait_in_force(version)
         return version
 
-    def first(self) -> dict[str, str]:
+    def initial_items(self) -> dict[str, str]:
         """The site of the world, as the first version has it."""
         return taken_apart(parse(self.world.text, "world"))
 
-    async def again(self, me: int = 0, instances: tuple[Address, ...] | None = None) -> FrontProcess:
+    async def restart_front(self, me: int = 0, instances: tuple[Address, ...] | None = None) -> FrontProcess:
         """A front ends and begins anew, by its own file and what it kept; it may follow others."""
         await self.world.fronts[me].stop()
         site = self.world.site
@@ -62,17 +62,17 @@
         made = self.world.fronts[me] = await self.world.front(me, replace(site, follow=side))
         return made
 
-    async def down(self) -> None:
+    async def close_apis(self) -> None:
         """No instance is in reach any more."""
         for web in self.instances.webs:
             await web.close()
 
-    async def lose(self, number: int) -> None:
+    async def stop_instance(self, number: int) -> None:
         """An instance ends."""
         await self.instances.webs[number].close()
         await self.instances.members[number].stop()
 
-    async def bring_back(self, number: int) -> None:
+    async def restart_instance(self, number: int) -> None:
         """It begins anew, by its journal."""
         old = self.instances.members[number]
         member = ClusterMember(old.identity, old.first, old.addresses, old.folder)
@@ -95,10 +95,10 @@
         async with living(world):
             found = Fleet(world, made)
             if begun:
-                await found.change(found.first())
+                await found.change(found.initial_items())
             yield found
 
 
-def follow_of(world: World) -> FollowSide:
+def follow_settings(world: World) -> FollowSide:
     assert world.site.follow is not None
     return world.site.follow
--- a/tests/following/test_front.py
+++ b/tests/following/test_front.py
@@ -26,7 +26,7 @@
 from tests.front.conftest import site_text
 from tests.front.test_engine import REQUEST
 
-from .conftest import Fleet, fleet, follow_of
+from .conftest import Fleet, fleet, follow_settings
 
 CLIPS = "(group clips (start-target 1s) (setup-timeout 8s) (utility 1))"
 FILM = "(group film (start-target 1s) (setup-timeout 8s) (utility 1) (top 0))"
@@ -194,7 +194,7 @@
 ) -> None:
     async def scenario(deployment: Fleet) -> None:
         world, front = deployment.world, deployment.world.fronts[0]
-        rules = deployment.first()["rules"]
+        rules = deployment.initial_items()["rules"]
         invalid = await deployment.commit({"rules": rules.replace("(cold 2s)", "(cold 3s)")})
         core = front.following.follower if front.following is not None else None
         assert core is not None
@@ -217,7 +217,7 @@
     tmp_path: Path,
 ) -> None:
     async def scenario(deployment: Fleet) -> None:
-        rules = deployment.first()["rules"].replace("(cold 2s)", "(cold 3s)")
+        rules = deployment.initial_items()["rules"].replace("(cold 2s)", "(cold 3s)")
         restart_version = await deployment.commit({"rules": rules})
         following = deployment.world.fronts[0].following
         assert following is not None
@@ -225,7 +225,7 @@
         await deployment.world.until(
             lambda: core.refused[0] == restart_version and core.pending_write is None
         )
-        front = await deployment.again()
+        front = await deployment.restart_front()
         assert (front.terms.version, front.engine.facts.rules.cold) == (restart_version, 3_000_000)
 
     run_scenario(scenario, tmp_path)
@@ -305,8 +305,8 @@
 def test_a_front_restarted_without_a_reachable_instance_uses_its_kept_version(tmp_path: Path) -> None:
     async def scenario(deployment: Fleet) -> None:
         version = await deployment.change({"groups/film": FILM}, ("groups/clips",))
-        await deployment.down()
-        front = await deployment.again()
+        await deployment.close_apis()
+        front = await deployment.restart_front()
         assert front.terms.version == version and front.terms.groups == {"film": 0}
         await deployment.world.until(lambda: deployment.world.ready(front))
         assert (await deployment.world.ask(group="film")).json()["state"] == "playing"
@@ -326,7 +326,7 @@
         front = deployment.world.fronts[0] = await deployment.world.front(0)
         assert front.terms.version == 0 and front.following is not None
         assert front.following.follower.floor == version
-        await deployment.in_force(version)
+        await deployment.wait_in_force(version)
 
     run_scenario(scenario, tmp_path)
 
@@ -335,8 +335,8 @@
     async def scenario(deployment: Fleet) -> None:
         version = await deployment.change({"limits": "(limits (held 7) (drain-time 0s))"})
         async with served(tmp_path / "older") as older:
-            await older.call("POST", "/config", {"who": "a", "why": "b", "sets": deployment.first()})
-            front = await deployment.again(0, tuple(older.apis.values()))
+            await older.call("POST", "/config", {"who": "a", "why": "b", "sets": deployment.initial_items()})
+            front = await deployment.restart_front(0, tuple(older.apis.values()))
             assert front.following is not None
             core = front.following.follower
             await deployment.world.until(lambda: core.counts["lagging"] >= 2)
@@ -357,7 +357,7 @@
         await deployment.world.until(lambda: core.counts["not-kept"] == 1)
         assert (front.terms.version, front.following.counts["not-written"]) == (version - 1, 1)
         temporary.rmdir()
-        await deployment.in_force(version)
+        await deployment.wait_in_force(version)
 
     run_scenario(scenario, tmp_path)
 
@@ -372,7 +372,7 @@
         world, front = deployment.world, deployment.world.fronts[0]
         version, remaining = front.terms.version, deployment.instances.leader()
         for number in {0, 1, 2} - {remaining}:
-            await deployment.lose(number)
+            await deployment.stop_instance(number)
         assert front.following is not None
         core = front.following.follower
         await world.until(lambda: core.apart_since is not None and core.return_instance == remaining, 15)
@@ -380,7 +380,7 @@
         await world.until(lambda: 0 in reports and reports[0][0].apart_ms > 0, 15)
         assert front.terms.version == version and (await world.ask()).json()["state"] == "playing"
         for number in {0, 1, 2} - {remaining}:
-            await deployment.bring_back(number)
+            await deployment.restart_instance(number)
         await world.until(
             lambda: any(member.raft.role is Role.LEADER for member in deployment.instances.members)
         )
@@ -394,14 +394,14 @@
     async def scenario(deployment: Fleet) -> None:
         world, dead = deployment.world, deployment.instances.leader()
         await deployment.commit({"limits": "(limits (held 7) (drain-time 0s))"})
-        await deployment.lose(dead)
+        await deployment.stop_instance(dead)
         alive = [member for n, member in enumerate(deployment.instances.members) if n != dead]
         await world.until(lambda: any(member.raft.role is Role.LEADER for member in alive))
         # The stopped member object still has the leader role.
         deployment.instances.members[dead].raft.role = Role.FOLLOWER
         version = await deployment.change({"limits": "(limits (held 8) (drain-time 0s))"})
         assert version == 3 and {front.gate.limits.held for front in world.fronts} == {8}
-        await deployment.bring_back(dead)
+        await deployment.restart_instance(dead)
 
     run_scenario(scenario, tmp_path, instances=3, fronts=2)
 
@@ -446,7 +446,9 @@
         file = await deployment.instances.call("GET", "/config/file")
         fake = FakeInstance(*lines, whole=file.body, tag=file.headers["etag"])
         port = await fake.web.start("127.0.0.1", 0)
-        front = await deployment.again(0, (("127.0.0.1", port), *follow_of(deployment.world).instances))
+        front = await deployment.restart_front(
+            0, (("127.0.0.1", port), *follow_settings(deployment.world).instances)
+        )
         assert front.following is not None
         following, core = front.following, front.following.follower
         error_count: Callable[[], int] = lambda: core.counts[reason] + following.counts.get(reason, 0)  # noqa: E731
--- a/tests/following/test_rollout.py
+++ b/tests/following/test_rollout.py
@@ -354,7 +354,7 @@
             assert status == 0 and output.startswith(
                 f"version {version} of 2 fronts: 2 in-force, committed "
             ), output
-            rules = deployment.first()["rules"].replace("(cold 2s)", "(cold 3s)")
+            rules = deployment.initial_items()["rules"].replace("(cold 2s)", "(cold 3s)")
             invalid = await deployment.commit({"rules": rules})
 
             def refusals_reported(apis: list[Api]) -> bool:
