--- a/tests/following/test_core.py
+++ b/tests/following/test_core.py
@@ -1,4 +1,4 @@
-"""The core of a front that follows the configuration: its answers one by one."""
+"""The core of a configuration follower: the effects of single events, free of I/O."""
 
 from collections import Counter
 from pathlib import Path
@@ -27,105 +27,121 @@
 from ponddoor.settings.site import Site
 
 SECOND = 1_000_000
-LOG = committed()
+VERSIONS = committed()  # version n is the entry n - 1
 
 
-def good(number: int) -> bool:
-    """Whether fronts that refuse `held` with 7 at its end take this version."""
-    return "7))" not in LOG[number - 1].text.split("(limits")[1].split("\n")[0]
+def is_usable(number: int) -> bool:
+    """Whether the fronts of these tests can use a version: the `held` limit of its site must not end in 7."""
+    return "7))" not in VERSIONS[number - 1].text.split("(limits")[1].split("\n")[0]
 
 
-class Front:
-    """A core, its disk, and the world as far as a test plays it."""
+class FrontHarness:
+    """A follower with a disk in memory, a simulated clock, and effects that are carried out at once.
 
-    def __init__(self, kept: bytes = b"", me: int = 0, fronts: int = 10, instances: int = 5) -> None:
-        self.refuses = self.fails = False
-        self.core = Follower(me, fronts, instances, 7, 3 * SECOND, Path(), self.usable)
-        self.now, self.disk, self.done = 1000 * SECOND, kept, list[Effect]()
-        self.on(self.core.begin(self.now, 1, kept))
+    `refuse_all` makes the front refuse every site, `fail_writes` makes every write fail."""
 
-    def usable(self, site: Site) -> tuple[str, ...]:
-        return ("no front can",) if site.limits.held % 10 == 7 or self.refuses else ()
+    def __init__(self, stored: bytes = b"", me: int = 0, fronts: int = 10, instances: int = 5) -> None:
+        self.refuse_all = self.fail_writes = False
+        self.core = Follower(me, fronts, instances, 7, 3 * SECOND, Path(), self.reasons_against)
+        self.now, self.disk, self.effects = 1000 * SECOND, stored, list[Effect]()
+        self.carry_out(self.core.begin(self.now, 1, stored))
 
-    def on(self, effects: list[Effect]) -> "Front":
-        """Carry out, with each writing done at once."""
+    def reasons_against(self, site: Site) -> tuple[str, ...]:
+        return ("no front can",) if site.limits.held % 10 == 7 or self.refuse_all else ()
+
+    def carry_out(self, effects: list[Effect]) -> "FrontHarness":
+        """Record effects; writes and reports finish at once."""
         for effect in effects:
-            self.done.append(effect)
+            self.effects.append(effect)
             if isinstance(effect, Persist):
                 assert self.core.pending_write is not None
-                self.disk = self.disk if self.fails else effect.data
-                self.on(self.core.write_finished(self.now, effect.number, not self.fails))
+                self.disk = self.disk if self.fail_writes else effect.data
+                self.carry_out(self.core.write_finished(self.now, effect.number, not self.fail_writes))
             if isinstance(effect, SendReport):
-                self.on(self.core.report_finished(self.now, True))
+                self.carry_out(self.core.report_finished(self.now, True))
         return self
 
-    def wait(self, time: int) -> "Front":
-        """Let time pass, with nothing that comes."""
-        end = self.now + time
+    def advance(self, duration_us: int) -> "FrontHarness":
+        """Advance the clock and run what falls due; no input arrives."""
+        end = self.now + duration_us
         while (due := self.core.next_due) is not None and due <= end:
             self.now = max(due, self.now)
-            self.on(self.core.run_due(self.now))
+            self.carry_out(self.core.run_due(self.now))
         self.now = end
         return self
 
-    def begun(self, number: int) -> "Front":
-        """With an instance that has a version, which is in force."""
+    def load(self, number: int) -> "FrontHarness":
+        """Connect to an instance and receive the full state of a version, which is then evaluated."""
         while self.core.phase is Phase.AWAY:
-            self.wait(SECOND // 10)
-        held = LOG[number - 1]
-        self.on(
-            self.core.receive_full_state(self.now, self.core.current_instance, number, held.text, held.digest)
+            self.advance(SECOND // 10)
+        version = VERSIONS[number - 1]
+        self.carry_out(
+            self.core.receive_full_state(
+                self.now, self.core.current_instance, number, version.text, version.digest
+            )
         )
-        return self.wait(0)
+        return self.advance(0)
 
-    def line(self, data: bytes) -> "Front":
-        return self.on(self.core.receive_line(self.now, self.core.current_instance, data))
+    def receive_line(self, data: bytes) -> "FrontHarness":
+        return self.carry_out(self.core.receive_line(self.now, self.core.current_instance, data))
 
-    def lines(self, first: int, last: int) -> "Front":
-        for held in LOG[first - 1 : last]:
-            self.line(held.line)
-        return self.wait(SECOND // 5)
+    def receive_versions(self, first: int, last: int) -> "FrontHarness":
+        """Receive the lines of versions `first` to `last` in a burst, which is then evaluated."""
+        for version in VERSIONS[first - 1 : last]:
+            self.receive_line(version.line)
+        return self.advance(SECOND // 5)
 
-    def beat(self, number: int, apart: bool = False) -> "Front":
-        return self.line(msgspec.json.encode({"beat": number, "apart": apart}))
+    def receive_heartbeat(self, number: int, apart: bool = False) -> "FrontHarness":
+        return self.receive_line(msgspec.json.encode({"beat": number, "apart": apart}))
 
-    def taken(self) -> list[int]:
-        return [effect.number for effect in self.done if isinstance(effect, PutInForce)]
+    def versions_in_force(self) -> list[int]:
+        """The numbers of all versions that were put in force, in order."""
+        return [effect.number for effect in self.effects if isinstance(effect, PutInForce)]
 
-    def last(self, kind: type[Effect]) -> Effect | None:
-        return next((effect for effect in reversed(self.done) if isinstance(effect, kind)), None)
+    def last_effect(self, kind: type[Effect]) -> Effect | None:
+        return next((effect for effect in reversed(self.effects) if isinstance(effect, kind)), None)
 
-    def said(self) -> list[str]:
-        return [effect.event for effect in self.done if isinstance(effect, LogEvent)]
+    def logged_events(self) -> list[str]:
+        return [effect.event for effect in self.effects if isinstance(effect, LogEvent)]
 
 
-FIRST = next(number for number in range(10, 100) if all(good(one) for one in range(number, number + 6)))
-BAD = next(number for number in range(5, 100) if good(number - 1) and not good(number) and good(number - 2))
+# The first of six usable versions in a row
+USABLE = next(
+    number
+    for number in range(10, 100)
+    if all(is_usable(candidate) for candidate in range(number, number + 6))
+)
+# An unusable version after two usable ones
+UNUSABLE = next(
+    number
+    for number in range(5, 100)
+    if is_usable(number - 1) and not is_usable(number) and is_usable(number - 2)
+)
 
 
 @pytest.mark.parametrize("first", [1, 30, 77])
-def test_steps_from_a_whole_state_lead_where_the_machine_is(first: int) -> None:
-    front = Front().begun(first)
-    for held in LOG[first:]:
-        front.line(held.line).wait(SECOND // 5)
-        assert (front.core.verified.number, front.core.verified.digest) == (held.number, held.digest)
+def test_steps_applied_to_a_full_state_give_the_states_of_the_state_machine(first: int) -> None:
+    front = FrontHarness().load(first)
+    for version in VERSIONS[first:]:
+        front.receive_line(version.line).advance(SECOND // 5)
+        assert (front.core.verified.number, front.core.verified.digest) == (version.number, version.digest)
     assert front.core.counts["fetches"] == 1 and front.core.counts["differs"] == 0
 
 
-def test_parts_keep_their_order_where_a_form_came_first_by_one_that_is_gone() -> None:
+def test_items_keep_their_order_after_the_first_item_of_a_kind_is_removed() -> None:
     machine = Machine()
     machine.apply(1, packed(Change("a", "b", 1, taken_apart(parse(BASE, "-")))))
-    part = "(group {} (start-target 1s) (setup-timeout 2s))"
-    front = Front().begun(1)
-    for index, (sets, drops) in enumerate(
+    group = "(group {} (start-target 1s) (setup-timeout 2s))"
+    front = FrontHarness().load(1)
+    for number, (sets, drops) in enumerate(
         [
-            ({"groups/z": part.format("z"), "groups/a": part.format("a")}, []),
-            ({"titles/z": "(title z (home 0) (span 1))", "groups/b": part.format("b")}, ["groups/film"]),
-            ({"groups/film": part.format("film"), "groups/news": part.format("news")}, ["titles/opera"]),
+            ({"groups/z": group.format("z"), "groups/a": group.format("a")}, []),
+            ({"titles/z": "(title z (home 0) (span 1))", "groups/b": group.format("b")}, ["groups/film"]),
+            ({"groups/film": group.format("film"), "groups/news": group.format("news")}, ["titles/opera"]),
         ],
         2,
     ):
-        machine.apply(index, packed(Change("a", "b", 1, sets, drops)))
+        machine.apply(number, packed(Change("a", "b", 1, sets, drops)))
         steps = [
             {
                 "key": step.key,
@@ -136,109 +152,126 @@
             for step in machine.history[-1].steps
         ]
         digest = digest_of(assembled(machine.items))
-        front.line(msgspec.json.encode({"version": index, "steps": steps, "digest": digest})).wait(SECOND)
-        assert (front.core.version, front.core.digest) == (index, digest)
+        front.receive_line(
+            msgspec.json.encode({"version": number, "steps": steps, "digest": digest})
+        ).advance(SECOND)
+        assert (front.core.version, front.core.digest) == (number, digest)
     assert machine.site is not None
     assert machine.site.group_names() == ("news", "z", "a", "b", "film")
 
 
-def test_a_version_is_kept_before_it_is_in_force() -> None:
-    front = Front().begun(FIRST)
-    front.core.receive_line(front.now, front.core.current_instance, LOG[FIRST].line)
+def test_a_version_is_on_disk_before_it_is_in_force() -> None:
+    front = FrontHarness().load(USABLE)
+    front.core.receive_line(front.now, front.core.current_instance, VERSIONS[USABLE].line)
     front.now += SECOND // 5
-    [keep] = [effect for effect in front.core.run_due(front.now) if not isinstance(effect, SendReport)]
-    assert isinstance(keep, Persist) and front.core.version == FIRST
-    [take] = front.core.write_finished(front.now, keep.number, True)
+    [persist] = [effect for effect in front.core.run_due(front.now) if not isinstance(effect, SendReport)]
+    assert isinstance(persist, Persist) and front.core.version == USABLE
+    [put_in_force] = front.core.write_finished(front.now, persist.number, True)
     assert (
-        isinstance(take, PutInForce)
-        and take.number == FIRST + 1
-        and front.core.write_finished(front.now, keep.number, True) == []
+        isinstance(put_in_force, PutInForce)
+        and put_in_force.number == USABLE + 1
+        and front.core.write_finished(front.now, persist.number, True) == []
     )
-    again = Front(keep.data)
-    assert again.taken() == [FIRST + 1] and again.core.digest == LOG[FIRST].digest
+    restarted = FrontHarness(persist.data)
+    assert restarted.versions_in_force() == [USABLE + 1] and restarted.core.digest == VERSIONS[USABLE].digest
 
 
-def test_a_life_is_later_than_the_one_before_whatever_the_clock_says() -> None:
-    first = Front().begun(FIRST)
-    lives = [first.core.life]
+def test_the_life_of_a_restarted_front_increases_even_if_the_wall_clock_does_not() -> None:
+    front = FrontHarness().load(USABLE)
+    lives = [front.core.life]
     for _ in range(3):
-        first = Front(first.disk)  # the wall clock stands still
-        lives.append(first.core.life)
+        front = FrontHarness(front.disk)  # begins with the same wall clock time
+        lives.append(front.core.life)
     assert lives == [1, 2, 3, 4]
 
 
-def test_a_burst_is_taken_as_one_and_a_steady_stream_is_taken() -> None:
-    front = Front().begun(FIRST).lines(FIRST + 1, FIRST + 5)
-    assert front.taken() == [FIRST, FIRST + 5]
-    front = Front().begun(1)
-    for held in LOG[1:101]:
-        front.line(held.line).wait(SECOND // 20)
-    assert len(front.taken()) > 10
+def test_only_the_last_version_of_a_burst_is_put_in_force_and_a_steady_stream_is_not_deferred() -> None:
+    front = FrontHarness().load(USABLE).receive_versions(USABLE + 1, USABLE + 5)
+    assert front.versions_in_force() == [USABLE, USABLE + 5]
+    front = FrontHarness().load(1)
+    for version in VERSIONS[1:101]:
+        front.receive_line(version.line).advance(SECOND // 20)
+    assert len(front.versions_in_force()) > 10
 
 
-def test_what_comes_twice_or_late_changes_nothing() -> None:
-    front = Front().begun(FIRST).lines(FIRST + 1, FIRST + 1).lines(FIRST - 3, FIRST + 1)
-    assert front.taken() == [FIRST, FIRST + 1] and front.core.counts["doubled"] == 5
-    other = (front.core.current_instance + 1) % 5
-    assert front.core.receive_line(front.now, other, LOG[FIRST + 1].line) == []
-    assert front.core.receive_full_state(front.now, other, 99, LOG[98].text) == []
-    assert front.core.connection_lost(front.now, other, Loss.BROKEN) == [] and front.core.counts["late"] == 3
+def test_repeated_lines_and_input_of_another_instance_change_nothing() -> None:
+    front = (
+        FrontHarness()
+        .load(USABLE)
+        .receive_versions(USABLE + 1, USABLE + 1)
+        .receive_versions(USABLE - 3, USABLE + 1)
+    )
+    assert front.versions_in_force() == [USABLE, USABLE + 1] and front.core.counts["doubled"] == 5
+    other_instance = (front.core.current_instance + 1) % 5
+    assert front.core.receive_line(front.now, other_instance, VERSIONS[USABLE + 1].line) == []
+    assert front.core.receive_full_state(front.now, other_instance, 99, VERSIONS[98].text) == []
+    assert (
+        front.core.connection_lost(front.now, other_instance, Loss.BROKEN) == []
+        and front.core.counts["late"] == 3
+    )
 
 
 @pytest.mark.parametrize("data", [
     b"", b"{}", b"[[", b"\xff\xfe", b'{"beat":-1}', b'{"version":0}', b'{"version":"4"}', b'{"beat":1e99}',
-    b'{"version":%d,"steps":[{"key":"limits"}]}' % (FIRST + 1), b"[" * 100_000, b" " * (MAX_LINE_BYTES + 1),
-    b'{"version":9007199254740993}', LOG[FIRST].line[:-9],
-    b'{"version":%d,"steps":[{"key":"x/y","before":null,"after":"(x"}]}' % (FIRST + 1),
-    b'{"version":%d,"steps":[{"key":"titles/q","before":null,"after":"%s"}]}' % (FIRST + 1, b"(" * 50_000),
+    b'{"version":%d,"steps":[{"key":"limits"}]}' % (USABLE + 1), b"[" * 100_000, b" " * (MAX_LINE_BYTES + 1),
+    b'{"version":9007199254740993}', VERSIONS[USABLE].line[:-9],
+    b'{"version":%d,"steps":[{"key":"x/y","before":null,"after":"(x"}]}' % (USABLE + 1),
+    b'{"version":%d,"steps":[{"key":"titles/q","before":null,"after":"%s"}]}' % (USABLE + 1, b"(" * 50_000),
 ], ids=range(15))  # fmt: skip
-def test_nonsense_is_counted_and_left(data: bytes) -> None:
-    front = Front().begun(FIRST).beat(FIRST)
-    first = front.core.current_instance
-    front.line(data)
+def test_a_malformed_line_is_counted_and_its_instance_left(data: bytes) -> None:
+    front = FrontHarness().load(USABLE).receive_heartbeat(USABLE)
+    first_instance = front.core.current_instance
+    front.receive_line(data)
     assert front.core.counts["nonsense"] + front.core.counts["oversize"] == 1
-    assert isinstance(front.last(Disconnect), Disconnect) and front.core.current_instance != first
-    front.wait(2 * SECOND)
-    assert isinstance(front.last(Watch), Watch) and front.core.version == front.core.verified.number == FIRST
+    assert (
+        isinstance(front.last_effect(Disconnect), Disconnect)
+        and front.core.current_instance != first_instance
+    )
+    front.advance(2 * SECOND)
+    assert (
+        isinstance(front.last_effect(Watch), Watch)
+        and front.core.version == front.core.verified.number == USABLE
+    )
     for _ in range(3 * 5):
-        front.line(data).wait(20 * SECOND)
-    assert Counter(front.said())["config-nonsense"] + Counter(front.said())["config-oversize"] <= 5
+        front.receive_line(data).advance(20 * SECOND)
+    assert (
+        Counter(front.logged_events())["config-nonsense"] + Counter(front.logged_events())["config-oversize"]
+        <= 5
+    )
 
 
-def test_of_a_gap_what_is_missing_is_asked_for() -> None:
-    front = Front().begun(FIRST).line(LOG[FIRST + 1].line)
-    assert front.last(Watch) == Watch(front.core.current_instance, FIRST)
-    first = front.core.current_instance
-    front.line(LOG[FIRST + 1].line)
-    assert (
-        front.core.current_instance != first and front.core.counts["gap"] == 2
-    )  # it does not have what is missing
+def test_a_gap_reopens_the_watch_and_a_second_gap_leaves_the_instance() -> None:
+    front = FrontHarness().load(USABLE).receive_line(VERSIONS[USABLE + 1].line)
+    assert front.last_effect(Watch) == Watch(front.core.current_instance, USABLE)
+    first_instance = front.core.current_instance
+    front.receive_line(VERSIONS[USABLE + 1].line)  # the instance lacks the missing version as well
+    assert front.core.current_instance != first_instance and front.core.counts["gap"] == 2
 
 
-def test_beats_of_what_does_not_come_are_asked_about() -> None:
-    front = Front().begun(FIRST)
+def test_heartbeats_of_a_version_that_does_not_arrive_reopen_the_watch() -> None:
+    front = FrontHarness().load(USABLE)
     for _ in range(3):
-        front.beat(FIRST + 2).wait(SECOND)
-    assert front.core.counts["missing-lines"] == 1 and front.last(Watch) == Watch(
-        front.core.current_instance, FIRST
+        front.receive_heartbeat(USABLE + 2).advance(SECOND)
+    assert front.core.counts["missing-lines"] == 1 and front.last_effect(Watch) == Watch(
+        front.core.current_instance, USABLE
     )
-    front.lines(FIRST + 1, FIRST + 2).beat(FIRST + 2)
-    assert front.core.version == FIRST + 2
+    front.receive_versions(USABLE + 1, USABLE + 2).receive_heartbeat(USABLE + 2)
+    assert front.core.version == USABLE + 2
 
 
-@pytest.mark.parametrize("wrong", ["digest", "before"])
-def test_a_version_that_does_not_add_up_is_taken_not_in_part(wrong: str) -> None:
-    line = msgspec.json.decode(LOG[FIRST + 1].line)
-    if wrong == "digest":
+@pytest.mark.parametrize("wrong_field", ["digest", "before"])
+def test_a_version_with_a_wrong_digest_or_item_text_is_not_applied_in_part(wrong_field: str) -> None:
+    line = msgspec.json.decode(VERSIONS[USABLE + 1].line)
+    if wrong_field == "digest":
         line["digest"] = "0" * 16
     else:
         line["steps"][0]["before"] = "(limits (held 3))"
-    front = Front().begun(FIRST).lines(FIRST + 1, FIRST + 1)
-    front.line(msgspec.json.encode(line)).wait(SECOND // 5)
-    assert front.taken() == [FIRST, FIRST + 1] and front.core.unverified is front.core.verified
+    front = FrontHarness().load(USABLE).receive_versions(USABLE + 1, USABLE + 1)
+    front.receive_line(msgspec.json.encode(line)).advance(SECOND // 5)
+    assert front.versions_in_force() == [USABLE, USABLE + 1] and front.core.unverified is front.core.verified
     assert front.core.phase is Phase.FETCHING and front.core.counts["fetches"] == 2
-    front.begun(FIRST + 2)
-    assert front.taken() == [FIRST, FIRST + 1, FIRST + 2]
+    front.load(USABLE + 2)
+    assert front.versions_in_force() == [USABLE, USABLE + 1, USABLE + 2]
 
 
 @pytest.mark.parametrize(
@@ -247,206 +280,230 @@
         ("", ""),
         ("(site", ""),
         ("(" * 50_000, ""),
-        (LOG[40].text, LOG[41].digest),
-        (LOG[40].text[:-9], ""),
+        (VERSIONS[40].text, VERSIONS[41].digest),
+        (VERSIONS[40].text[:-9], ""),
         ("(cluster x)", ""),
     ],
     ids=range(6),
 )
-def test_a_whole_state_that_is_not_whole(text: str, digest: str) -> None:
-    front = Front().begun(FIRST - 1).lines(FIRST, FIRST)
-    front.on(front.core.history_unavailable(front.now, front.core.current_instance))
-    assert front.last(Fetch) == Fetch(front.core.current_instance)
-    front.on(front.core.receive_full_state(front.now, front.core.current_instance, 41, text, digest))
-    assert front.core.verified.number == FIRST and front.core.counts["nonsense"] == 1
+def test_a_malformed_full_state_is_refused_and_its_instance_left(text: str, digest: str) -> None:
+    front = FrontHarness().load(USABLE - 1).receive_versions(USABLE, USABLE)
+    front.carry_out(front.core.history_unavailable(front.now, front.core.current_instance))
+    assert front.last_effect(Fetch) == Fetch(front.core.current_instance)
+    front.carry_out(front.core.receive_full_state(front.now, front.core.current_instance, 41, text, digest))
+    assert front.core.verified.number == USABLE and front.core.counts["nonsense"] == 1
     assert front.core.phase is Phase.AWAY
 
 
-def test_the_last_good_version_stays_and_the_next_good_one_is_taken() -> None:
-    front = Front().begun(BAD - 1).lines(BAD, BAD)
-    assert front.taken() == [BAD - 1] and front.core.refused == (BAD, "no front can")
+def test_the_last_usable_version_stays_in_force_until_the_next_usable_one() -> None:
+    front = FrontHarness().load(UNUSABLE - 1).receive_versions(UNUSABLE, UNUSABLE)
+    assert front.versions_in_force() == [UNUSABLE - 1] and front.core.refused == (UNUSABLE, "no front can")
     for _ in range(6):
-        front.beat(BAD).wait(SECOND)
-    told = front.last(SendReport)
-    assert isinstance(told, SendReport) and (told.report.version, told.report.refused) == (BAD - 1, BAD)
-    after = next(number for number in range(BAD, 120) if good(number))
-    front = Front().begun(BAD - 1).lines(BAD, BAD).lines(BAD + 1, after)
-    assert front.taken() == [BAD - 1, after] and front.core.refused == (0, "")
+        front.receive_heartbeat(UNUSABLE).advance(SECOND)
+    sent = front.last_effect(SendReport)
+    assert isinstance(sent, SendReport) and (sent.report.version, sent.report.refused) == (
+        UNUSABLE - 1,
+        UNUSABLE,
+    )
+    next_usable = next(number for number in range(UNUSABLE, 120) if is_usable(number))
+    front = (
+        FrontHarness()
+        .load(UNUSABLE - 1)
+        .receive_versions(UNUSABLE, UNUSABLE)
+        .receive_versions(UNUSABLE + 1, next_usable)
+    )
+    assert front.versions_in_force() == [UNUSABLE - 1, next_usable] and front.core.refused == (0, "")
 
 
-def test_a_bad_version_does_not_hide_the_good_one_before_it() -> None:
-    front = Front().begun(BAD - 2).lines(BAD - 1, BAD)
-    assert front.taken() == [BAD - 2, BAD - 1] and front.core.refused[0] == BAD
+def test_the_usable_version_before_an_unusable_one_of_the_same_burst_is_put_in_force() -> None:
+    front = FrontHarness().load(UNUSABLE - 2).receive_versions(UNUSABLE - 1, UNUSABLE)
+    assert front.versions_in_force() == [UNUSABLE - 2, UNUSABLE - 1] and front.core.refused[0] == UNUSABLE
 
 
-def test_what_was_refused_in_service_is_taken_at_the_next_start() -> None:
-    front = Front().begun(FIRST)
-    front.refuses = True
-    front.lines(FIRST + 1, FIRST + 1)
-    assert front.taken() == [FIRST]
-    again = Front(front.disk)
-    assert [type(effect) for effect in again.done] == [Persist, PutInForce] and again.taken() == [FIRST + 1]
-    assert Front(again.disk).taken() == [FIRST + 1]
+def test_a_version_refused_in_service_is_put_in_force_at_the_next_start() -> None:
+    front = FrontHarness().load(USABLE)
+    front.refuse_all = True
+    front.receive_versions(USABLE + 1, USABLE + 1)
+    assert front.versions_in_force() == [USABLE]
+    restarted = FrontHarness(front.disk)
+    assert [type(effect) for effect in restarted.effects] == [
+        Persist,
+        PutInForce,
+    ] and restarted.versions_in_force() == [USABLE + 1]
+    assert FrontHarness(restarted.disk).versions_in_force() == [USABLE + 1]
 
 
-def test_a_first_version_that_was_refused_is_taken_at_the_next_start() -> None:
+def test_a_refused_first_version_is_put_in_force_at_the_next_start() -> None:
     core = Follower(0, 10, 5, 7, 3 * SECOND, Path(), lambda site: ("not in service",))
     core.begin(0, 1, b"")
     core.run_due(core.next_due or 0)
-    core.receive_full_state(SECOND, core.current_instance, FIRST, LOG[FIRST - 1].text, LOG[FIRST - 1].digest)
-    [keep] = [effect for effect in core.run_due(SECOND) if isinstance(effect, Persist)]
-    again = Front(keep.data)
-    assert again.taken() == [FIRST] and again.core.refused == (0, "")
-    still = Follower(0, 10, 5, 7, 3 * SECOND, Path(), lambda site: ("not in service",))
-    assert still.begin(0, 2, keep.data) == [] and still.refused[0] == FIRST
-
-
-def test_what_can_not_be_kept_is_not_taken() -> None:
-    front = Front().begun(FIRST)
-    front.fails = True
-    front.lines(FIRST + 1, FIRST + 1)
+    core.receive_full_state(
+        SECOND, core.current_instance, USABLE, VERSIONS[USABLE - 1].text, VERSIONS[USABLE - 1].digest
+    )
+    [persist] = [effect for effect in core.run_due(SECOND) if isinstance(effect, Persist)]
+    restarted = FrontHarness(persist.data)
+    assert restarted.versions_in_force() == [USABLE] and restarted.core.refused == (0, "")
+    still_refusing = Follower(0, 10, 5, 7, 3 * SECOND, Path(), lambda site: ("not in service",))
+    assert still_refusing.begin(0, 2, persist.data) == [] and still_refusing.refused[0] == USABLE
+
+
+def test_a_version_that_can_not_be_written_is_not_put_in_force() -> None:
+    front = FrontHarness().load(USABLE)
+    front.fail_writes = True
+    front.receive_versions(USABLE + 1, USABLE + 1)
     for _ in range(20):
-        front.beat(FIRST + 1).wait(SECOND)
-    assert front.taken() == [FIRST] and front.said().count("config-not-kept") == 1
+        front.receive_heartbeat(USABLE + 1).advance(SECOND)
+    assert front.versions_in_force() == [USABLE] and front.logged_events().count("config-not-kept") == 1
     assert front.core.counts["not-kept"] > 2
-    front.fails = False
+    front.fail_writes = False
     for _ in range(6):
-        front.beat(FIRST + 1).wait(SECOND)
-    assert front.taken() == [FIRST, FIRST + 1]
+        front.receive_heartbeat(USABLE + 1).advance(SECOND)
+    assert front.versions_in_force() == [USABLE, USABLE + 1]
 
 
-def test_a_start_that_can_not_keep_takes_what_was_in_force() -> None:
-    front = Front().begun(FIRST)
-    front.refuses = True
-    front.lines(FIRST + 1, FIRST + 1)
+def test_a_start_with_a_failing_disk_puts_the_stored_version_in_force() -> None:
+    front = FrontHarness().load(USABLE)
+    front.refuse_all = True
+    front.receive_versions(USABLE + 1, USABLE + 1)
     core = Follower(0, 10, 5, 7, 3 * SECOND, Path(), lambda site: ())
-    [keep] = core.begin(0, 2, front.disk)
-    assert isinstance(keep, Persist)
-    takes = [
-        effect for effect in core.write_finished(0, keep.number, False) if isinstance(effect, PutInForce)
+    [persist] = core.begin(0, 2, front.disk)
+    assert isinstance(persist, Persist)
+    versions = [
+        effect for effect in core.write_finished(0, persist.number, False) if isinstance(effect, PutInForce)
     ]
-    assert [take.number for take in takes] == [FIRST]
-
-
-@pytest.mark.parametrize("how", ["cut off", "body", "head", "format", "long"])
-def test_what_was_kept_and_is_spoilt(how: str) -> None:
-    kept = Front().begun(FIRST).disk
-    at = kept.index(b"\n")
-    spoilt = {
-        "cut off": kept[:-5],
-        "body": kept[: at + 50] + b"?" + kept[at + 51 :],
-        "head": kept[:20] + b"9" + kept[21:],
-        "format": kept.replace(b'"format":1', b'"format":2', 1),
-        "long": kept + b" " * 20_000_000,
-    }[how]
-    front = Front(spoilt)
-    assert front.said() == ["config-kept-unusable"] and front.taken() == []
-    assert front.core.floor == (
-        FIRST if how in ("cut off", "body") else 0
-    )  # its own checksum saves the floor
-    front.begun(FIRST - 1)
-    assert front.taken() == ([] if front.core.floor == FIRST else [FIRST - 1])
-    front.line(LOG[FIRST - 1].line) if front.core.phase is Phase.WATCHING else front.begun(FIRST)
-    assert front.wait(SECOND).taken()[-1] == FIRST
-
-
-def test_a_cluster_that_lost_its_disks_takes_no_front_back() -> None:
-    front = Front(Front().begun(FIRST).disk)
+    assert [version.number for version in versions] == [USABLE]
+
+
+@pytest.mark.parametrize("damage", ["truncated", "body", "header", "format", "oversize"])
+def test_a_damaged_stored_file_is_not_used_and_its_floor_kept_if_the_header_is_intact(damage: str) -> None:
+    stored = FrontHarness().load(USABLE).disk
+    line_end = stored.index(b"\n")
+    damaged = {
+        "truncated": stored[:-5],
+        "body": stored[: line_end + 50] + b"?" + stored[line_end + 51 :],
+        "header": stored[:20] + b"9" + stored[21:],
+        "format": stored.replace(b'"format":1', b'"format":2', 1),
+        "oversize": stored + b" " * 20_000_000,
+    }[damage]
+    front = FrontHarness(damaged)
+    assert front.logged_events() == ["config-kept-unusable"] and front.versions_in_force() == []
+    # The header has a checksum of its own
+    assert front.core.floor == (USABLE if damage in ("truncated", "body") else 0)
+    front.load(USABLE - 1)
+    assert front.versions_in_force() == ([] if front.core.floor == USABLE else [USABLE - 1])
+    front.receive_line(VERSIONS[USABLE - 1].line) if front.core.phase is Phase.WATCHING else front.load(
+        USABLE
+    )
+    assert front.advance(SECOND).versions_in_force()[-1] == USABLE
+
+
+def test_no_front_returns_to_an_older_version_of_a_cluster_that_lost_its_disks() -> None:
+    front = FrontHarness(FrontHarness().load(USABLE).disk)
     for _ in range(10):
         while front.core.phase is Phase.AWAY:
-            front.wait(SECOND // 10)
-        front.on(
+            front.advance(SECOND // 10)
+        front.carry_out(
             front.core.receive_full_state(
-                front.now, front.core.current_instance, 1, LOG[0].text, LOG[0].digest
+                front.now, front.core.current_instance, 1, VERSIONS[0].text, VERSIONS[0].digest
             )
         )
-    assert front.taken() == [FIRST] and front.said().count("config-ahead-of-all") == 1
-    told = front.last(SendReport)
-    assert isinstance(told, SendReport) and told.report.version == FIRST
-    front = Front().begun(FIRST).beat(FIRST)
-    front.on(front.core.history_unavailable(front.now, front.core.current_instance, 1))
-    assert front.core.counts["fetches"] == 1 and front.core.counts["lagging"] == 1  # nothing more was asked
-    front.wait(2 * SECOND)
-    front.on(front.core.history_unavailable(front.now, front.core.current_instance, 99))
-    assert front.last(Fetch) == Fetch(front.core.current_instance)
-
-
-def test_another_history_under_the_same_number_is_told() -> None:
-    front = Front(Front().begun(FIRST).disk)
+    assert front.versions_in_force() == [USABLE] and front.logged_events().count("config-ahead-of-all") == 1
+    sent = front.last_effect(SendReport)
+    assert isinstance(sent, SendReport) and sent.report.version == USABLE
+    front = FrontHarness().load(USABLE).receive_heartbeat(USABLE)
+    front.carry_out(front.core.history_unavailable(front.now, front.core.current_instance, 1))
+    # The full state of an instance that lags is not requested
+    assert front.core.counts["fetches"] == 1 and front.core.counts["lagging"] == 1
+    front.advance(2 * SECOND)
+    front.carry_out(front.core.history_unavailable(front.now, front.core.current_instance, 99))
+    assert front.last_effect(Fetch) == Fetch(front.core.current_instance)
+
+
+def test_a_different_state_under_the_version_number_held_is_logged() -> None:
+    front = FrontHarness(FrontHarness().load(USABLE).disk)
     while front.core.phase is Phase.AWAY:
-        front.wait(SECOND // 10)
-    front.on(
+        front.advance(SECOND // 10)
+    front.carry_out(
         front.core.receive_full_state(
-            front.now, front.core.current_instance, FIRST, LOG[0].text, LOG[0].digest
+            front.now, front.core.current_instance, USABLE, VERSIONS[0].text, VERSIONS[0].digest
         )
     )
-    assert "config-forked" in front.said() and front.core.digest == LOG[FIRST - 1].digest
+    assert "config-forked" in front.logged_events() and front.core.digest == VERSIONS[USABLE - 1].digest
 
 
-def test_a_number_that_nobody_has_drives_no_front_around_for_ever() -> None:
-    front = Front().begun(FIRST).beat(10**9)
+def test_a_version_number_that_no_other_instance_names_does_not_cost_connections_for_ever() -> None:
+    front = FrontHarness().load(USABLE).receive_heartbeat(10**9)
     for _ in range(200):
         if front.core.phase is not Phase.AWAY:
-            front.beat(FIRST)
-        front.wait(SECOND // 2)
-    assert front.core.head == FIRST and front.core.phase is Phase.WATCHING
-    before = front.core.counts["watches"]
+            front.receive_heartbeat(USABLE)
+        front.advance(SECOND // 2)
+    assert front.core.head == USABLE and front.core.phase is Phase.WATCHING
+    watches_before = front.core.counts["watches"]
     for _ in range(60):
-        front.beat(FIRST).wait(SECOND)
-    assert front.core.counts["watches"] == before
+        front.receive_heartbeat(USABLE).advance(SECOND)
+    assert front.core.counts["watches"] == watches_before
 
 
-def test_silence_and_apart_turn_to_another_and_all_apart_to_none() -> None:
-    front = Front().begun(FIRST)
-    first = front.core.current_instance
-    front.wait(3 * SECOND)
-    assert front.core.current_instance != first and front.core.counts["silent"] == 1
-    front = Front().begun(FIRST)
+def test_a_silent_or_leaderless_instance_is_left_and_few_tries_are_made_while_all_are_leaderless() -> None:
+    front = FrontHarness().load(USABLE)
+    first_instance = front.core.current_instance
+    front.advance(3 * SECOND)
+    assert front.core.current_instance != first_instance and front.core.counts["silent"] == 1
+    front = FrontHarness().load(USABLE)
     for _ in range(40):
         if front.core.phase is Phase.WATCHING:
-            front.beat(FIRST, apart=True)
-        front.wait(SECOND // 2)
-    assert front.core.unhealthy == set(range(5)) and front.said().count("config-apart") == 1
-    before = front.core.counts["watches"]
+            front.receive_heartbeat(USABLE, apart=True)
+        front.advance(SECOND // 2)
+    assert front.core.unhealthy == set(range(5)) and front.logged_events().count("config-apart") == 1
+    watches_before = front.core.counts["watches"]
     for _ in range(600):
         if front.core.phase is Phase.WATCHING:
-            front.beat(FIRST, apart=True)
-        front.wait(SECOND // 2)
-    assert front.core.counts["watches"] - before <= 20 and front.core.version == FIRST
+            front.receive_heartbeat(USABLE, apart=True)
+        front.advance(SECOND // 2)
+    assert front.core.counts["watches"] - watches_before <= 20 and front.core.version == USABLE
     while front.core.phase is Phase.AWAY:
-        front.wait(SECOND // 10)
-    front.beat(FIRST)
-    assert front.core.apart_since is None and "config-together" in front.said()
+        front.advance(SECOND // 10)
+    front.receive_heartbeat(USABLE)
+    assert front.core.apart_since is None and "config-together" in front.logged_events()
 
 
-def test_fronts_of_an_instance_that_dies_come_evenly_to_the_others() -> None:
-    fleet = [Front(me=me, fronts=820).begun(FIRST).beat(FIRST) for me in range(0, 820, 5)]
+def test_the_fronts_of_a_failed_instance_spread_evenly_over_the_others_and_over_time() -> None:
+    fleet = [
+        FrontHarness(me=me, fronts=820).load(USABLE).receive_heartbeat(USABLE) for me in range(0, 820, 5)
+    ]
     for front in fleet:
-        front.on(front.core.connection_lost(front.now, 0, Loss.BROKEN))
+        front.carry_out(front.core.connection_lost(front.now, 0, Loss.BROKEN))
+    # 164 fronts spread over the 4 remaining instances
     assert max(Counter(front.core.current_instance for front in fleet).values()) == 41
-    moments = sorted((front.core.next_try or 0) - front.now for front in fleet)
-    assert moments[-1] <= 2 * SECOND // 3 + MIN_RETRY_INTERVAL_US and moments[82] >= 2 * SECOND // 9
+    waits = sorted((front.core.next_try or 0) - front.now for front in fleet)
+    assert waits[-1] <= 2 * SECOND // 3 + MIN_RETRY_INTERVAL_US and waits[82] >= 2 * SECOND // 9
 
 
-def test_the_even_period_of_a_long_outage() -> None:
-    fleet = [ReconnectSchedule(me, 820, SECOND, me, period=OUTAGE_RETRY_PERIOD_US) for me in range(820)]
-    tries = [front.lost(0, Loss.LATE) for front in fleet]
-    later = []
-    for front, moment in zip(fleet, tries, strict=True):
+def test_tries_during_a_long_outage_are_spread_evenly_over_each_second() -> None:
+    schedules = [ReconnectSchedule(me, 820, SECOND, me, period=OUTAGE_RETRY_PERIOD_US) for me in range(820)]
+    first_tries = [schedule.lost(0, Loss.LATE) for schedule in schedules]
+    later_tries = []
+    for schedule, moment in zip(schedules, first_tries, strict=True):
         while moment < 100 * SECOND:
-            moment = front.lost(moment, Loss.LATE)
-            later += [moment] if moment >= REDIRECT_LIMIT_US + OUTAGE_RETRY_PERIOD_US else []
-    seconds = Counter(moment // SECOND for moment in later if 20 * SECOND <= moment < 100 * SECOND)
-    assert set(seconds.values()) == {205} and len(seconds) == 80
+            moment = schedule.lost(moment, Loss.LATE)
+            later_tries += [moment] if moment >= REDIRECT_LIMIT_US + OUTAGE_RETRY_PERIOD_US else []
+    tries_by_second = Counter(
+        moment // SECOND for moment in later_tries if 20 * SECOND <= moment < 100 * SECOND
+    )
+    # 820 fronts, each of which tries once in 4 s
+    assert set(tries_by_second.values()) == {205} and len(tries_by_second) == 80
 
 
-def test_a_report_is_told_when_it_changes_and_not_too_often() -> None:
-    front = Front(me=3).begun(FIRST).beat(FIRST).wait(SECOND)
-    assert sum(isinstance(effect, SendReport) for effect in front.done) == 1
-    for number in range(FIRST + 1, FIRST + 5):
-        front.lines(number, number).beat(number).wait(SECOND)
+def test_a_change_is_reported_and_the_rate_of_reports_is_limited() -> None:
+    front = FrontHarness(me=3).load(USABLE).receive_heartbeat(USABLE).advance(SECOND)
+    assert sum(isinstance(effect, SendReport) for effect in front.effects) == 1
+    for number in range(USABLE + 1, USABLE + 5):
+        front.receive_versions(number, number).receive_heartbeat(number).advance(SECOND)
     for _ in range(8):
-        front.beat(FIRST + 4).wait(SECOND)
-    told = [effect.report for effect in front.done if isinstance(effect, SendReport)]
-    assert len(told) <= 3 and (told[-1].version, told[-1].digest) == (FIRST + 4, LOG[FIRST + 3].digest)
-    assert [report.number for report in told] == list(range(1, len(told) + 1))
+        front.receive_heartbeat(USABLE + 4).advance(SECOND)
+    reports = [effect.report for effect in front.effects if isinstance(effect, SendReport)]
+    assert len(reports) <= 3 and (reports[-1].version, reports[-1].digest) == (
+        USABLE + 4,
+        VERSIONS[USABLE + 3].digest,
+    )
+    assert [report.number for report in reports] == list(range(1, len(reports) + 1))
