--- a/ponddoor/config/followers_mutants.py
+++ b/ponddoor/config/followers_mutants.py
@@ -86,7 +86,7 @@
 
     def __post_init__(self) -> None:
         super().__post_init__()
-        self.silence = 3600 * 1_000_000
+        self.silence_timeout_us = 3600 * 1_000_000
 
 
 class Greedy(Quick):
--- a/ponddoor/front/follower.py
+++ b/ponddoor/front/follower.py
@@ -205,22 +205,24 @@
 class Follower:
     """The follower of one front.
 
-    `me` is the front's number, from 0 below `fronts`; `instances` is the number of configuration instances.
-    `usable` returns the reasons reason this front can't take a site in service; an empty tuple means that it
-    can. `silence` is the time without a line after which an instance counts as lost, `report_every` the least
-    time between two reports, `settle` the delay from the first line of a burst to its evaluation. All times
-    are in microseconds."""
-
-    me: int
-    fronts: int
-    instances: int
+    `front_number` is the front's number, from 0 below `front_count`; `instance_count` is the number of
+    configuration instances. `start_limit_us` is how long the configuration may take to arrive at a start; the
+    first tries of all fronts are spread over at most a third of it. `reasons_against` returns the reasons why
+    this front can't take a site in service; an empty tuple means that it can. `silence_timeout_us` is the
+    time without a line after which an instance counts as lost, `report_interval_us` the least time between
+    two reports, `burst_delay_us` the delay from the first line of a burst to its evaluation. All times are in
+    microseconds."""
+
+    front_number: int
+    front_count: int
+    instance_count: int
     seed: int
-    grace: int
+    start_limit_us: int
     folder: Path
-    usable: Callable[[Site], tuple[str, ...]]
-    silence: int = 3 * SECOND
-    report_every: int = 5 * SECOND
-    settle: int = SECOND // 10
+    reasons_against: Callable[[Site], tuple[str, ...]]
+    silence_timeout_us: int = 3 * SECOND
+    report_interval_us: int = 5 * SECOND
+    burst_delay_us: int = SECOND // 10
 
     version: int = 0  # in force; 0: none yet
     digest: str = ""
@@ -276,14 +278,14 @@
 
     def __post_init__(self) -> None:
         self.schedule = ReconnectSchedule(
-            self.me, self.fronts, self.grace, self.seed, period=OUTAGE_RETRY_PERIOD_US
+            self.front_number, self.front_count, self.start_limit_us, self.seed, period=OUTAGE_RETRY_PERIOD_US
         )
         self._random = SeededRandom(self.seed ^ 0x2545F4914F6CDD1D)
         self._random.draw(2)
-        first = self.me % self.instances
-        others = [number for number in range(self.instances) if number != first]
+        first = self.front_number % self.instance_count
+        others = [number for number in range(self.instance_count) if number != first]
         # Each front has its own order, so that the watchers of a failed instance spread over all others
-        cut = (self.me // self.instances) % max(len(others), 1)
+        cut = (self.front_number // self.instance_count) % max(len(others), 1)
         self._order = (first, *others[cut:], *others[:cut])
         self.current_instance = first
 
@@ -295,7 +297,7 @@
         The stored version in force is put in force at once. If a newer stored version is usable now, it is
         first written as the one in force and takes effect when that write is durable."""
         self.life, self.next_try = wall, self.schedule.start(now)
-        self.apart_warning_at = now + 2 * self.silence
+        self.apart_warning_at = now + 2 * self.silence_timeout_us
         try:
             in_force, newest = self._restore(kept)
         except UnusableError as problem:
@@ -413,7 +415,7 @@
         self.report_in_flight = False
         if not ok:
             self.counts["not-told"] += 1
-            self.report_at = now + self.report_every
+            self.report_at = now + self.report_interval_us
         return []
 
     def run_due(self, now: int) -> list[Effect]:
@@ -421,9 +423,9 @@
         effects: list[Effect] = []
         if self.phase is Phase.AWAY and self.next_try is not None and now >= self.next_try:
             effects += self._connect(now)
-        elif self.phase is not Phase.AWAY and now >= self.last_activity_at + self.silence:
+        elif self.phase is not Phase.AWAY and now >= self.last_activity_at + self.silence_timeout_us:
             self.counts["silent"] += 1
-            effects += [Disconnect(), *self._switch_instance(now, Loss.SILENT, self.silence)]
+            effects += [Disconnect(), *self._switch_instance(now, Loss.SILENT, self.silence_timeout_us)]
         elif self.switch_at is not None and now >= self.switch_at:
             self.switch_at = None
             self._choose_next_instance()
@@ -449,7 +451,7 @@
         if self.phase is Phase.AWAY:
             moments.append(self.next_try)
         else:
-            moments += [self.last_activity_at + self.silence, self.switch_at]
+            moments += [self.last_activity_at + self.silence_timeout_us, self.switch_at]
         return min((moment for moment in moments if moment is not None), default=None)
 
     # Rules, each of which a mutant of the simulation disables (ponddoor/config/followers_mutants.py)
@@ -486,7 +488,7 @@
 
     def _rejection_reasons(self, site: Site) -> tuple[str, ...]:
         """Why this front can't use a site that passed the checks of a site file."""
-        return self.usable(site)
+        return self.reasons_against(site)
 
     def _lines_overdue(self, now: int) -> bool:
         """Whether lines were lost on a live connection, where heartbeats alone would keep the watch open for
@@ -543,7 +545,7 @@
         self.watch_reopened, self.lines_missing_since = False, None
         if self.evaluate_at is None:
             # Set by the first line only: a burst is evaluated once, a steady stream can't defer it for ever
-            self.evaluate_at = now + self.settle
+            self.evaluate_at = now + self.burst_delay_us
         return self._note_usable_line(now)
 
     def _with_steps(self, line: _Line) -> State:
@@ -612,9 +614,9 @@
             self.instance_behind_since = (
                 now if self.instance_behind_since is None else self.instance_behind_since
             )
-            if now - self.instance_behind_since >= self.silence:
+            if now - self.instance_behind_since >= self.silence_timeout_us:
                 self.behind_head.add(self.current_instance)
-                if len(self.behind_head) < self.instances:
+                if len(self.behind_head) < self.instance_count:
                     self.counts["lagging"] += 1
                     return [Disconnect(), *self._switch_instance(now, Loss.BROKEN)]
                 # Otherwise a version that one instance named and no other has would cost every connection
@@ -659,8 +661,8 @@
         if self.apart_since is None:
             self._note_apart_since(now)
             self._schedule_report(now)
-        if self.switch_at is None and self.instances > 1:
-            all_tried = len(self.unhealthy) >= self.instances
+        if self.switch_at is None and self.instance_count > 1:
+            all_tried = len(self.unhealthy) >= self.instance_count
             self.switch_at = (
                 now + MEAN_SEARCH_INTERVAL_US // 2 + self._random.draw(MEAN_SEARCH_INTERVAL_US)
                 if all_tried
@@ -671,7 +673,7 @@
     def _note_apart_since(self, moment: int) -> None:
         if self.apart_since is None:
             self.apart_since = moment
-            self.apart_warning_at = moment + 2 * self.silence
+            self.apart_warning_at = moment + 2 * self.silence_timeout_us
 
     # Instances
 
@@ -712,14 +714,14 @@
         self.counts["lagging"] += 1
         self.lagging.add(self.current_instance)
         effects: list[Effect] = []
-        if len(self.lagging) == self.instances and self._first_for_front("ahead"):
+        if len(self.lagging) == self.instance_count and self._first_for_front("ahead"):
             versions = (
                 f"version {max(self.verified.number, self.floor)} here, "
                 f"{number} at instance {self.current_instance}"
             )
             effects.append(LogEvent("error", "config-ahead-of-all", versions))
         if not self.report_in_flight and (
-            self.last_report_at is None or now >= self.last_report_at + self.report_every
+            self.last_report_at is None or now >= self.last_report_at + self.report_interval_us
         ):
             effects.append(self._next_report(now))
         return effects + self._switch_instance(now, Loss.BROKEN)
@@ -752,11 +754,13 @@
         After a refusal all others may be tried, as the network path works. After a time-out the machine may
         be down, and one more is tried, so that a few failed machines cost no period. More tries would bring a
         fleet that was cut off back within one second."""
-        return {Loss.REFUSED: self.instances - 1, Loss.LATE: 1}.get(loss, 0)
+        return {Loss.REFUSED: self.instance_count - 1, Loss.LATE: 1}.get(loss, 0)
 
     def _choose_next_instance(self) -> None:
         """Choose the next instance in this front's order, a healthy one if there is any."""
-        positions = [(self._position + offset) % self.instances for offset in range(1, self.instances + 1)]
+        positions = [
+            (self._position + offset) % self.instance_count for offset in range(1, self.instance_count + 1)
+        ]
         others = [
             position for position in positions if self._order[position] != self.current_instance
         ] or positions
@@ -934,12 +938,12 @@
     # Reports
 
     def _schedule_report(self, now: int) -> None:
-        """Schedule a report in this front's share of the next second, `report_every` after the last at the
-        earliest."""
+        """Schedule a report in this front's share of the next second, `report_interval_us` after the last one
+        at the earliest."""
         if self.report_at is None:
-            slot = SECOND // max(self.fronts, 1)
-            delay = slot * self.me + self._random.draw(max(slot, 1))
-            earliest = 0 if self.last_report_at is None else self.last_report_at + self.report_every
+            slot = SECOND // max(self.front_count, 1)
+            delay = slot * self.front_number + self._random.draw(max(slot, 1))
+            earliest = 0 if self.last_report_at is None else self.last_report_at + self.report_interval_us
             self.report_at = max(now + delay, earliest)
 
     def _send_due_report(self, now: int) -> list[Effect]:
@@ -948,7 +952,9 @@
             return []
         if self.last_report_at is not None:
             # An unanswered report is given up after two report intervals
-            next_report_at = self.last_report_at + (2 if self.report_in_flight else 1) * self.report_every
+            next_report_at = (
+                self.last_report_at + (2 if self.report_in_flight else 1) * self.report_interval_us
+            )
             if now < next_report_at:
                 self.report_at = next_report_at
                 return []
@@ -961,7 +967,7 @@
         apart = 0 if self.apart_since is None else (now - self.apart_since) // 1000
         age = (now - self.in_force_since) // 1000 if self.version else 0
         report = Report(
-            self.me,
+            self.front_number,
             self.life,
             self.reports_made,
             self.version,
--- a/ponddoor/front/following.py
+++ b/ponddoor/front/following.py
@@ -188,7 +188,7 @@
             case SendReport():
                 self._start(self._send_report(effect))
             case LogEvent(level, event, detail):
-                getattr(log, level)(event, detail=detail, front=self.follower.me)
+                getattr(log, level)(event, detail=detail, front=self.follower.front_number)
                 if event == "config-refused" and self.refused is not None:
                     self.refused(*self.follower.refused)
 
@@ -209,10 +209,10 @@
     async def _watch(self, connection: int, instance: int, after: int) -> None:
         host, port = self.instances[instance]
         pool = Pool(host, port, 1, CONNECT_TIMEOUT_US / SECOND)
-        path = f"/config/watch?after={after}&front={self.follower.me}"
+        path = f"/config/watch?after={after}&front={self.follower.front_number}"
         try:
             # The core detects silence by its own timer; this time-out only covers the loss of that timer
-            async for line in pool.lines(path, 2 * self.follower.silence / SECOND, MAX_LINE_BYTES):
+            async for line in pool.lines(path, 2 * self.follower.silence_timeout_us / SECOND, MAX_LINE_BYTES):
                 receive = partial(self._if_current, connection, self._receive_line, instance, line)
                 await self._calls.put((receive, len(line) > LONG_LINE_BYTES))
             outcome = partial(self._if_current, connection, self._connection_lost, instance, Loss.BROKEN, 0)
@@ -241,7 +241,9 @@
         host, port = self.instances[instance]
         pool = Pool(host, port, 1, CONNECT_TIMEOUT_US / SECOND, most_body=MAX_FULL_STATE_BYTES)
         try:
-            answer = await pool.request("GET", "/config/file", timeout=self.follower.silence / SECOND)
+            answer = await pool.request(
+                "GET", "/config/file", timeout=self.follower.silence_timeout_us / SECOND
+            )
             if answer.status != 200:
                 raise TurnedAwayError(answer.status, 0.0, answer.headers)
             number, text = _number(answer.headers.get("etag", "")), answer.body.decode()
