--- a/ponddoor/config/followers.py
+++ b/ponddoor/config/followers.py
@@ -915,7 +915,7 @@
             held = front.follower
             if held is not None and held.version and (held.version != front.ever or front.serving is None):
                 self.fail(f"front {front.number} says {held.version}, {front.ever} is in force")
-            if held is not None and held.phase is not Phase.AWAY and front.connection is None:
+            if held is not None and held.phase is not Phase.DISCONNECTED and front.connection is None:
                 self.fail(f"front {front.number} is {held.phase.value} and asks nobody")
 
 
--- a/ponddoor/front/follower.py
+++ b/ponddoor/front/follower.py
@@ -191,7 +191,7 @@
 class Phase(Enum):
     """State of the connection to the current instance."""
 
-    AWAY = "away"
+    DISCONNECTED = "away"
     WATCHING = "watching"
     FETCHING = "fetching"
 
@@ -239,7 +239,7 @@
     burst: deque[State] = field(default_factory=lambda: deque(maxlen=MAX_BURST_STATES))
 
     current_instance: int = 0
-    phase: Phase = Phase.AWAY
+    phase: Phase = Phase.DISCONNECTED
     schedule: ReconnectSchedule = field(init=False)
     # Instances that were lost, lagging or without a leader since a leader was last known
     unhealthy: set[int] = field(default_factory=set)
@@ -387,7 +387,7 @@
         self, now: int, instance: int, loss: Loss, gone: int = 0, stay_away: int = 0
     ) -> list[Effect]:
         """Process the end or the failure of the watch or of the request for the full state."""
-        if instance != self.current_instance or self.phase is Phase.AWAY:
+        if instance != self.current_instance or self.phase is Phase.DISCONNECTED:
             self.counts["late"] += 1
             return []
         return self._switch_instance(now, loss, gone, stay_away)
@@ -421,9 +421,9 @@
     def run_due(self, now: int) -> list[Effect]:
         """Do what is due by now."""
         effects: list[Effect] = []
-        if self.phase is Phase.AWAY and self.next_try is not None and now >= self.next_try:
+        if self.phase is Phase.DISCONNECTED and self.next_try is not None and now >= self.next_try:
             effects += self._connect(now)
-        elif self.phase is not Phase.AWAY and now >= self.last_activity_at + self.silence_timeout_us:
+        elif self.phase is not Phase.DISCONNECTED and now >= self.last_activity_at + self.silence_timeout_us:
             self.counts["silent"] += 1
             effects += [Disconnect(), *self._switch_instance(now, Loss.SILENT, self.silence_timeout_us)]
         elif self.switch_at is not None and now >= self.switch_at:
@@ -448,7 +448,7 @@
     def next_due(self) -> int | None:
         """When `run_due` is to be called next."""
         moments = [self.evaluate_at, self.report_at, self.apart_warning_at]
-        if self.phase is Phase.AWAY:
+        if self.phase is Phase.DISCONNECTED:
             moments.append(self.next_try)
         else:
             moments += [self.last_activity_at + self.silence_timeout_us, self.switch_at]
@@ -728,7 +728,7 @@
 
     def _switch_instance(self, now: int, loss: Loss, gone: int = 0, stay_away: int = 0) -> list[Effect]:
         """Leave the current instance and schedule the connection to the next one."""
-        self.phase, self.switch_at = Phase.AWAY, None
+        self.phase, self.switch_at = Phase.DISCONNECTED, None
         self.unhealthy.add(self.current_instance)
         self._note_apart_since(now - gone)
         if self.return_instance is not None and self.current_instance != self.return_instance:
@@ -947,7 +947,7 @@
             self.report_at = max(now + delay, earliest)
 
     def _send_due_report(self, now: int) -> list[Effect]:
-        if self.phase is Phase.AWAY or not self.usable_line_received:
+        if self.phase is Phase.DISCONNECTED or not self.usable_line_received:
             self.report_at = None  # the first usable line schedules it anew
             return []
         if self.last_report_at is not None:
--- a/tests/following/test_core.py
+++ b/tests/following/test_core.py
@@ -72,7 +72,7 @@
 
     def load(self, number: int) -> "FrontHarness":
         """Connect to an instance and receive the full state of a version, which is then evaluated."""
-        while self.core.phase is Phase.AWAY:
+        while self.core.phase is Phase.DISCONNECTED:
             self.advance(SECOND // 10)
         version = VERSIONS[number - 1]
         self.carry_out(
@@ -292,7 +292,7 @@
     assert front.last_effect(Fetch) == Fetch(front.core.current_instance)
     front.carry_out(front.core.receive_full_state(front.now, front.core.current_instance, 41, text, digest))
     assert front.core.verified.number == USABLE and front.core.counts["nonsense"] == 1
-    assert front.core.phase is Phase.AWAY
+    assert front.core.phase is Phase.DISCONNECTED
 
 
 def test_the_last_usable_version_stays_in_force_until_the_next_usable_one() -> None:
@@ -400,7 +400,7 @@
 def test_no_front_returns_to_an_older_version_of_a_cluster_that_lost_its_disks() -> None:
     front = FrontHarness(FrontHarness().load(USABLE).disk)
     for _ in range(10):
-        while front.core.phase is Phase.AWAY:
+        while front.core.phase is Phase.DISCONNECTED:
             front.advance(SECOND // 10)
         front.carry_out(
             front.core.receive_full_state(
@@ -421,7 +421,7 @@
 
 def test_a_different_state_under_the_version_number_held_is_logged() -> None:
     front = FrontHarness(FrontHarness().load(USABLE).disk)
-    while front.core.phase is Phase.AWAY:
+    while front.core.phase is Phase.DISCONNECTED:
         front.advance(SECOND // 10)
     front.carry_out(
         front.core.receive_full_state(
@@ -434,7 +434,7 @@
 def test_a_version_number_that_no_other_instance_names_does_not_cost_connections_for_ever() -> None:
     front = FrontHarness().load(USABLE).receive_heartbeat(10**9)
     for _ in range(200):
-        if front.core.phase is not Phase.AWAY:
+        if front.core.phase is not Phase.DISCONNECTED:
             front.receive_heartbeat(USABLE)
         front.advance(SECOND // 2)
     assert front.core.head == USABLE and front.core.phase is Phase.WATCHING
@@ -461,7 +461,7 @@
             front.receive_heartbeat(USABLE, apart=True)
         front.advance(SECOND // 2)
     assert front.core.counts["watches"] - watches_before <= 20 and front.core.version == USABLE
-    while front.core.phase is Phase.AWAY:
+    while front.core.phase is Phase.DISCONNECTED:
         front.advance(SECOND // 10)
     front.receive_heartbeat(USABLE)
     assert front.core.apart_since is None and "config-together" in front.logged_events()
