--- a/ponddoor/front/follower.py
+++ b/ponddoor/front/follower.py
@@ -134,21 +134,21 @@
     apart: bool = False
 
 
-class _Written(msgspec.Struct, frozen=True):
+class _StoredState(msgspec.Struct, frozen=True):
     """A state on disk. Each item is its key, text and place."""
 
     number: int
     items: list[tuple[str, str, int]]
 
 
-class _Body(msgspec.Struct, frozen=True):
+class _StoredBody(msgspec.Struct, frozen=True):
     """The state in force, and the newest verified state where it is a later one."""
 
-    in_force: _Written
-    newest: _Written | None = None
+    in_force: _StoredState
+    newest: _StoredState | None = None
 
 
-class _Head(msgspec.Struct, frozen=True):
+class _StoredHeader(msgspec.Struct, frozen=True):
     """The first line of the stored file.
 
     `floor` and `life` stand here under the checksum `own`, so that they survive a damaged body. `size` is the
@@ -161,7 +161,7 @@
     body: str
     own: str = ""
 
-    def sum(self) -> str:
+    def checksum(self) -> str:
         text = f"{self.format} {self.floor} {self.life} {self.size} {self.body}"
         return xxhash.xxh3_64_hexdigest(text)
 
@@ -179,13 +179,13 @@
     items: dict[str, Item] = field(default_factory=dict)
     forms: dict[str, Listing] = field(default_factory=dict)
     digest: str = ""
-    size: int = 0  # characters of all item texts
+    char_count: int = 0  # of all item texts
 
     def copy(self) -> "State":
-        return State(self.number, dict(self.items), dict(self.forms), self.digest, self.size)
+        return State(self.number, dict(self.items), dict(self.forms), self.digest, self.char_count)
 
-    def written(self) -> _Written:
-        return _Written(self.number, [(key, item.text, item.place) for key, item in self.items.items()])
+    def to_stored(self) -> _StoredState:
+        return _StoredState(self.number, [(key, item.text, item.place) for key, item in self.items.items()])
 
 
 class Phase(Enum):
@@ -285,39 +285,45 @@
         first = self.front_number % self.instance_count
         others = [number for number in range(self.instance_count) if number != first]
         # Each front has its own order, so that the watchers of a failed instance spread over all others
-        cut = (self.front_number // self.instance_count) % max(len(others), 1)
-        self._order = (first, *others[cut:], *others[:cut])
+        rotation = (self.front_number // self.instance_count) % max(len(others), 1)
+        self._order = (first, *others[rotation:], *others[:rotation])
         self.current_instance = first
 
     # Events
 
-    def begin(self, now: int, wall: int, kept: bytes) -> list[Effect]:
-        """Start with the stored bytes `kept`; `wall` is the Unix time in microseconds.
+    def begin(self, now: int, wall_clock_us: int, stored: bytes) -> list[Effect]:
+        """Start with the bytes of the stored file; `wall_clock_us` is the Unix time.
 
         The stored version in force is put in force at once. If a newer stored version is usable now, it is
         first written as the one in force and takes effect when that write is durable."""
-        self.life, self.next_try = wall, self.schedule.start(now)
+        self.life, self.next_try = wall_clock_us, self.schedule.start(now)
         self.apart_warning_at = now + 2 * self.silence_timeout_us
         try:
-            in_force, newest = self._restore(kept)
+            in_force, newest = self._restore(stored)
         except UnusableError as problem:
-            return [LogEvent("error", "config-kept-unusable", f"{problem}; floor {self.floor}")]
+            return [LogEvent("error", "config-kept-unusable", f"{problem}; version floor {self.floor}")]
         if not newest.number:
             return []
         self.verified = self.unverified = newest
         self.head = newest.number
         site, reason = self._usable_site(in_force) if in_force.number else (None, "")
-        newer, newest_reason = self._usable_site(newest) if newest is not in_force else (None, "")
-        if newer is not None:
+        newest_site, newest_reason = self._usable_site(newest) if newest is not in_force else (None, "")
+        if newest_site is not None:
             self.fallback = (in_force, site) if site is not None else None
-            return self._persist(newest, newer)
+            return self._persist(newest, newest_site)
         if newest is not in_force:
             self.refused = (newest.number, newest_reason)
         if not in_force.number:
             return []
         if site is None:
             self.refused = (newest.number, newest_reason or reason)
-            return [LogEvent("error", "config-kept-refused", f"version {in_force.number}: {reason}")]
+            return [
+                LogEvent(
+                    "error",
+                    "config-kept-refused",
+                    f"stored version {in_force.number} can't be used: {reason}",
+                )
+            ]
         return [self._put_in_force(now, in_force, site), *self._persist(in_force, None)]
 
     def receive_line(self, now: int, instance: int, data: bytes) -> list[Effect]:
@@ -330,9 +336,9 @@
         try:
             line = msgspec.json.decode(data, type=_Line)
         except (msgspec.MsgspecError, RecursionError):
-            return self._reject_input(now, "nonsense", f"{data[:60]!r}")
+            return self._reject_input(now, "nonsense", f"malformed line {data[:60]!r}")
         if not (0 < line.version < VERSION_LIMIT or 0 <= line.beat < VERSION_LIMIT):
-            return self._reject_input(now, "nonsense", f"{data[:60]!r}")
+            return self._reject_input(now, "nonsense", f"no valid version number in line {data[:60]!r}")
         self.last_activity_at = now
         if line.version:
             return self._receive_version(now, line)
@@ -346,7 +352,11 @@
             self.counts["late"] += 1
             return []
         if not 0 <= number < VERSION_LIMIT or len(text) > MOST_BYTES:
-            return self._reject_input(now, "oversize", f"version {number} of {len(text)} characters")
+            return self._reject_input(
+                now,
+                "oversize",
+                f"full state of {len(text)} characters, at most {MOST_BYTES}, as version {number}",
+            )
         if self._behind_own_state(number):
             return self._reject_lagging_instance(now, number)
         if self._newer_than_verified(number):
@@ -384,13 +394,15 @@
         return self._request_full_state(now)
 
     def connection_lost(
-        self, now: int, instance: int, loss: Loss, gone: int = 0, stay_away: int = 0
+        self, now: int, instance: int, loss: Loss, elapsed_us: int = 0, min_wait_us: int = 0
     ) -> list[Effect]:
-        """Process the end or the failure of the watch or of the request for the full state."""
+        """Process the end or the failure of the watch or of the request for the full state.
+
+        It was lost `elapsed_us` ago; `min_wait_us` is the wait that the instance asked for, 0 if none."""
         if instance != self.current_instance or self.phase is Phase.DISCONNECTED:
             self.counts["late"] += 1
             return []
-        return self._switch_instance(now, loss, gone, stay_away)
+        return self._switch_instance(now, loss, elapsed_us, min_wait_us)
 
     def write_finished(self, now: int, number: int, ok: bool) -> list[Effect]:
         """Process the result of the write `number`: durable or failed."""
@@ -406,9 +418,9 @@
         if site is None:
             self._schedule_evaluation(now)
             return []
-        taken = self._put_in_force(now, state, site)
+        effect = self._put_in_force(now, state, site)
         self._schedule_evaluation(now)
-        return [taken]
+        return [effect]
 
     def report_finished(self, now: int, ok: bool) -> list[Effect]:
         """Process the result of the last report: delivered or failed."""
@@ -447,12 +459,12 @@
     @property
     def next_due(self) -> int | None:
         """When `run_due` is to be called next."""
-        moments = [self.evaluate_at, self.report_at, self.apart_warning_at]
+        due_times = [self.evaluate_at, self.report_at, self.apart_warning_at]
         if self.phase is Phase.DISCONNECTED:
-            moments.append(self.next_try)
+            due_times.append(self.next_try)
         else:
-            moments += [self.last_activity_at + self.silence_timeout_us, self.switch_at]
-        return min((moment for moment in moments if moment is not None), default=None)
+            due_times += [self.last_activity_at + self.silence_timeout_us, self.switch_at]
+        return min((due for due in due_times if due is not None), default=None)
 
     # Rules, each of which a mutant of the simulation disables (ponddoor/config/followers_mutants.py)
 
@@ -562,7 +574,7 @@
         # Only the order of places counts: new items come last, in the order of the places in the line
         for step in sorted(line.steps, key=lambda step: step.place):
             held = state.items.pop(step.key, None) if step.after is None else state.items.get(step.key)
-            state.size -= len(held.text) if held is not None else 0
+            state.char_count -= len(held.text) if held is not None else 0
             if step.after is None:
                 state.forms.pop(step.key, None)
                 continue
@@ -570,10 +582,10 @@
             text = str(forms[step.key])
             state.items[step.key] = Item(text, line.version, place if held is None else held.place)
             state.forms[step.key] = forms[step.key]
-            state.size += len(text)
+            state.char_count += len(text)
         state.number, state.digest = line.version, line.digest[:MAX_DIGEST_CHARS]
-        if len(state.items) > MOST_KEYS or state.size > MOST_BYTES:
-            raise UnusableError(f"state too large: {len(state.items)} keys, {state.size} characters")
+        if len(state.items) > MOST_KEYS or state.char_count > MOST_BYTES:
+            raise UnusableError(f"state too large: {len(state.items)} keys, {state.char_count} characters")
         return state
 
     def _parse_state(self, number: int, text: str, digest: str) -> State:
@@ -670,10 +682,10 @@
             )
         return []
 
-    def _note_apart_since(self, moment: int) -> None:
+    def _note_apart_since(self, since: int) -> None:
         if self.apart_since is None:
-            self.apart_since = moment
-            self.apart_warning_at = moment + 2 * self.silence_timeout_us
+            self.apart_since = since
+            self.apart_warning_at = since + 2 * self.silence_timeout_us
 
     # Instances
 
@@ -726,11 +738,13 @@
             effects.append(self._next_report(now))
         return effects + self._switch_instance(now, Loss.BROKEN)
 
-    def _switch_instance(self, now: int, loss: Loss, gone: int = 0, stay_away: int = 0) -> list[Effect]:
+    def _switch_instance(
+        self, now: int, loss: Loss, elapsed_us: int = 0, min_wait_us: int = 0
+    ) -> list[Effect]:
         """Leave the current instance and schedule the connection to the next one."""
         self.phase, self.switch_at = Phase.DISCONNECTED, None
         self.unhealthy.add(self.current_instance)
-        self._note_apart_since(now - gone)
+        self._note_apart_since(now - elapsed_us)
         if self.return_instance is not None and self.current_instance != self.return_instance:
             # No instance knows a leader: after one failed try elsewhere, return to the one that answers
             self.current_instance = self.return_instance
@@ -742,10 +756,10 @@
             loss
         ):
             self.immediate_retries += 1
-            self.next_try = now + stay_away + MIN_RETRY_INTERVAL_US + self._random.draw(RETRY_JITTER_US)
+            self.next_try = now + min_wait_us + MIN_RETRY_INTERVAL_US + self._random.draw(RETRY_JITTER_US)
             return []
         self.immediate_retries = 0
-        self.next_try = self.schedule.lost(now, loss, gone, stay_away)
+        self.next_try = self.schedule.lost(now, loss, elapsed_us, min_wait_us)
         return []
 
     def _max_immediate_retries(self, loss: Loss) -> int:
@@ -818,7 +832,9 @@
             self.counts["refused"] += 1
             self.refused = (state.number, reason)
             self._schedule_report(now)
-            effects.append(LogEvent("warning", "config-refused", f"version {state.number}: {reason}"))
+            effects.append(
+                LogEvent("warning", "config-refused", f"version {state.number} can't be used: {reason}")
+            )
             for candidate in reversed(earlier):
                 if (
                     self._newer_than_in_force(candidate.number)
@@ -835,9 +851,9 @@
     def _verify_digest(self, state: State) -> bool:
         """Whether a state built from steps has the digest stated; replaces that by the computed one."""
         digest = digest_of(assembled(state.items, state.forms))
-        same = self._digest_matches(digest, state.digest)
+        matches = self._digest_matches(digest, state.digest)
         state.digest = digest
-        return same
+        return matches
 
     def _drop_unverified(self) -> None:
         self.unverified = self.verified
@@ -876,19 +892,19 @@
         self.writes_started += 1
         self.pending_write = (self.writes_started, state, site)
         in_force = state if site is not None else self.in_force
-        newest = self.verified.written() if self.verified.number > in_force.number else None
-        body = msgspec.msgpack.encode(_Body(in_force.written(), newest))
+        newest = self.verified.to_stored() if self.verified.number > in_force.number else None
+        body = msgspec.msgpack.encode(_StoredBody(in_force.to_stored(), newest))
         floor = max(in_force.number, self.floor)
-        head = _Head(STORED_FORMAT, floor, self.life, len(body), xxhash.xxh3_64_hexdigest(body))
-        head = msgspec.structs.replace(head, own=head.sum())
-        return [Persist(self.writes_started, msgspec.json.encode(head) + b"\n" + body)]
+        header = _StoredHeader(STORED_FORMAT, floor, self.life, len(body), xxhash.xxh3_64_hexdigest(body))
+        header = msgspec.structs.replace(header, own=header.checksum())
+        return [Persist(self.writes_started, msgspec.json.encode(header) + b"\n" + body)]
 
     def _write_failed(self, now: int, state: State) -> list[Effect]:
         self.counts["not-kept"] += 1
         effects: list[Effect] = []
         if self._first_for_front("not-kept"):
             effects.append(
-                LogEvent("error", "config-not-kept", f"version {state.number} could not be written")
+                LogEvent("error", "config-not-kept", f"version {state.number} could not be written to disk")
             )
         if self.fallback is not None:
             effects.append(self._put_in_force(now, *self.fallback))
@@ -896,44 +912,44 @@
         self.evaluate_at = now + WRITE_RETRY_INTERVAL_US
         return effects
 
-    def _restore(self, kept: bytes) -> tuple[State, State]:
+    def _restore(self, stored_bytes: bytes) -> tuple[State, State]:
         """The stored state in force and the newest stored state.
 
-        Sets the floor and the life if the head is readable. Raises UnusableError if there is stored data that
-        can't be used."""
-        if not kept:
+        Sets the floor and the life if the header is readable. Raises UnusableError if there is stored data
+        that can't be used."""
+        if not stored_bytes:
             return State(), State()
-        if len(kept) > MAX_STORED_BYTES:
-            raise UnusableError(f"stored file of {len(kept)} bytes, at most {MAX_STORED_BYTES}")
-        head_line, _, body = kept.partition(b"\n")
+        if len(stored_bytes) > MAX_STORED_BYTES:
+            raise UnusableError(f"stored file of {len(stored_bytes)} bytes, at most {MAX_STORED_BYTES}")
+        header_line, _, body = stored_bytes.partition(b"\n")
         try:
-            head = msgspec.json.decode(head_line, type=_Head)
+            header = msgspec.json.decode(header_line, type=_StoredHeader)
         except msgspec.MsgspecError:
-            raise UnusableError("stored file has no readable head") from None
-        if head.own != head.sum():
-            raise UnusableError("stored file has a damaged head")
+            raise UnusableError("stored file has no readable header") from None
+        if header.own != header.checksum():
+            raise UnusableError("stored file has a damaged header")
         # If the wall clock was set back, the reports of this life would otherwise count as outdated
-        self.floor, self.life = head.floor, max(self.life, head.life + 1)
-        if head.format != STORED_FORMAT:
-            raise UnusableError(f"stored file has format {head.format}, expected {STORED_FORMAT}")
-        if len(body) < head.size:
-            raise UnusableError(f"stored file is truncated: {len(body)} of {head.size} bytes")
-        if xxhash.xxh3_64_hexdigest(body) != head.body:
+        self.floor, self.life = header.floor, max(self.life, header.life + 1)
+        if header.format != STORED_FORMAT:
+            raise UnusableError(f"stored file has format {header.format}, expected {STORED_FORMAT}")
+        if len(body) < header.size:
+            raise UnusableError(f"stored file is truncated: {len(body)} of {header.size} bytes")
+        if xxhash.xxh3_64_hexdigest(body) != header.body:
             raise UnusableError("stored file has a damaged body")
         try:
-            stored = msgspec.msgpack.decode(body, type=_Body)
+            stored = msgspec.msgpack.decode(body, type=_StoredBody)
             in_force = self._decode_state(stored.in_force)
             return in_force, in_force if stored.newest is None else self._decode_state(stored.newest)
         except (msgspec.MsgspecError, MalformedError, RecursionError) as problem:
             raise UnusableError(f"stored file can't be decoded: {str(problem)[:MAX_REASON_CHARS]}") from None
 
-    def _decode_state(self, written: _Written) -> State:
+    def _decode_state(self, stored: _StoredState) -> State:
         """Raises MalformedError."""
-        forms = {key: form_of(key, text) for key, text, _ in written.items}
-        items = {key: Item(text, written.number, place) for key, text, place in written.items}
-        size = sum(len(item.text) for item in items.values())
+        forms = {key: form_of(key, text) for key, text, _ in stored.items}
+        items = {key: Item(text, stored.number, place) for key, text, place in stored.items}
+        char_count = sum(len(item.text) for item in items.values())
         digest = digest_of(assembled(items, forms)) if items else ""
-        return State(written.number, items, forms, digest, size)
+        return State(stored.number, items, forms, digest, char_count)
 
     # Reports
 
@@ -964,18 +980,18 @@
     def _next_report(self, now: int) -> SendReport:
         self.reports_made, self.report_in_flight, self.last_report_at = self.reports_made + 1, True, now
         refused, reason = self.refused
-        apart = 0 if self.apart_since is None else (now - self.apart_since) // 1000
-        age = (now - self.in_force_since) // 1000 if self.version else 0
+        apart_ms = 0 if self.apart_since is None else (now - self.apart_since) // 1000
+        age_ms = (now - self.in_force_since) // 1000 if self.version else 0
         report = Report(
             self.front_number,
             self.life,
             self.reports_made,
             self.version,
             self.digest,
-            age,
+            age_ms,
             self.head,
             refused,
             reason,
-            apart,
+            apart_ms,
         )
         return SendReport(self.current_instance, report)
