--- a/ponddoor/front/following.py
+++ b/ponddoor/front/following.py
@@ -66,11 +66,12 @@
         self._put_in_force, self._file = put_in_force, state_file
         self.counts: dict[str, int] = {}  # of failures that the shell met, by reason
         # Called with each version that can't be used here, and the reason
-        self.refused: Callable[[int, str], None] | None = None
+        self.on_version_refused: Callable[[int, str], None] | None = None
         self._startup_effects: list[Effect] | None = None
         self._calls: asyncio.Queue[tuple[Call, bool]] = asyncio.Queue(MAX_QUEUED_CALLS)
-        self._link: asyncio.Task[None] | None = None  # the watch, or the request for the full state
-        self._connection = 0  # number of the current connection; input of earlier ones is dropped
+        # Runs the watch or the request for the full state
+        self._connection_task: asyncio.Task[None] | None = None
+        self._connection_number = 0  # of the current connection; input of earlier ones is dropped
         self._tasks: set[asyncio.Task[None]] = set()  # writes, reports and calls that wait for the queue
         self._runner: asyncio.Task[None] | None = None
         self._timer: asyncio.TimerHandle | None = None
@@ -116,8 +117,8 @@
 
     def end(self) -> "list[asyncio.Task[None]]":
         """Stop at once, as a killed process does; returns the cancelled tasks, which end a little later."""
-        self._close_timer()
-        tasks = [task for task in (self._runner, self._link, *self._tasks) if task is not None]
+        self._cancel_timer()
+        tasks = [task for task in (self._runner, self._connection_task, *self._tasks) if task is not None]
         for task in tasks:
             task.cancel()
         return tasks
@@ -148,18 +149,18 @@
             task.add_done_callback(self._tasks.discard)
 
     def _set_timer(self, min_wait_us: int = 0) -> None:
-        self._close_timer()
+        self._cancel_timer()
         due = self.follower.next_due
         if due is not None and not self._due_queued:
             wait = max(due - clock(), min_wait_us) / SECOND
-            self._timer = asyncio.get_running_loop().call_later(wait, self._due)
+            self._timer = asyncio.get_running_loop().call_later(wait, self._queue_due_call)
 
-    def _close_timer(self) -> None:
+    def _cancel_timer(self) -> None:
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
 
-    def _due(self) -> None:
+    def _queue_due_call(self) -> None:
         self._timer, self._due_queued = None, True
         evaluate_at = self.follower.evaluate_at
         self._queue_call(self._run_due, evaluate_at is not None and evaluate_at <= clock())
@@ -176,31 +177,31 @@
     def _carry_out(self, effect: Effect) -> None:
         match effect:
             case Watch(instance, after):
-                self._connect(self._watch(self._connection + 1, instance, after))
+                self._replace_connection(self._watch(self._connection_number + 1, instance, after))
             case Fetch(instance):
-                self._connect(self._fetch(self._connection + 1, instance))
+                self._replace_connection(self._fetch(self._connection_number + 1, instance))
             case Disconnect():
-                self._connect(None)
+                self._replace_connection(None)
             case Persist(number, data):
-                self._start(self._persist(number, data))
+                self._start_task(self._persist(number, data))
             case PutInForce():
                 self._put_in_force(effect)
             case SendReport():
-                self._start(self._send_report(effect))
+                self._start_task(self._send_report(effect))
             case LogEvent(level, event, detail):
                 getattr(log, level)(event, detail=detail, front=self.follower.front_number)
-                if event == "config-refused" and self.refused is not None:
-                    self.refused(*self.follower.refused)
-
-    def _connect(self, work: "Coroutine[Any, Any, None] | None") -> None:
-        """Replace the connection: close the previous one and start `work`, if any."""
-        self._connection += 1
-        if self._link is not None:
-            self._link.cancel()
-        self._link = None if work is None else asyncio.create_task(work)
-
-    def _start(self, work: "Coroutine[Any, Any, None]") -> None:
-        task = asyncio.create_task(work)
+                if event == "config-refused" and self.on_version_refused is not None:
+                    self.on_version_refused(*self.follower.refused)
+
+    def _replace_connection(self, coroutine: "Coroutine[Any, Any, None] | None") -> None:
+        """Replace the connection: close the previous one and start the new one, if any."""
+        self._connection_number += 1
+        if self._connection_task is not None:
+            self._connection_task.cancel()
+        self._connection_task = None if coroutine is None else asyncio.create_task(coroutine)
+
+    def _start_task(self, coroutine: "Coroutine[Any, Any, None]") -> None:
+        task = asyncio.create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
@@ -218,7 +219,7 @@
             outcome = partial(self._if_current, connection, self._connection_lost, instance, Loss.BROKEN, 0)
         except TurnedAwayError as problem:
             if problem.status == 410:
-                newest = _number(problem.headers.get("etag", ""))
+                newest = _version_in_tag(problem.headers.get("etag", ""))
                 outcome = partial(self._if_current, connection, self._history_unavailable, instance, newest)
             else:
                 outcome = partial(
@@ -231,7 +232,7 @@
                 )
         except (NotSentError, BrokenError, LateError) as problem:
             outcome = partial(
-                self._if_current, connection, self._connection_lost, instance, self._loss_of(problem), 0
+                self._if_current, connection, self._connection_lost, instance, self._loss_for(problem), 0
             )
         finally:
             pool.close()
@@ -246,7 +247,7 @@
             )
             if answer.status != 200:
                 raise TurnedAwayError(answer.status, 0.0, answer.headers)
-            number, text = _number(answer.headers.get("etag", "")), answer.body.decode()
+            number, text = _version_in_tag(answer.headers.get("etag", "")), answer.body.decode()
             if number < 0:
                 raise BrokenError("answer of GET /config/file has no version in its ETag")
             outcome = partial(
@@ -263,7 +264,7 @@
             outcome = partial(self._if_current, connection, self._connection_lost, instance, Loss.BROKEN, 0)
         except (NotSentError, BrokenError, LateError) as problem:
             outcome = partial(
-                self._if_current, connection, self._connection_lost, instance, self._loss_of(problem), 0
+                self._if_current, connection, self._connection_lost, instance, self._loss_for(problem), 0
             )
         finally:
             pool.close()
@@ -275,7 +276,7 @@
         """Make a call unless its connection has been replaced while the call was queued.
 
         The last argument is the time."""
-        if connection == self._connection:
+        if connection == self._connection_number:
             return call(*arguments)
         self._count("late")
         return []
@@ -294,7 +295,7 @@
     def _connection_lost(self, instance: int, loss: Loss, stay_away: int, now: int) -> list[Effect]:
         return self.follower.connection_lost(now, instance, loss, 0, stay_away)
 
-    def _loss_of(self, problem: Exception) -> Loss:
+    def _loss_for(self, problem: Exception) -> Loss:
         match problem:
             case NotSentError():
                 return Loss.REFUSED if problem.refused else Loss.LATE
@@ -362,7 +363,7 @@
         return True
 
 
-def _number(tag: str) -> int:
+def _version_in_tag(tag: str) -> int:
     """The version that an entity tag names; -1 if it names none."""
     match = re.fullmatch(r'"v(\d{1,16})"', tag.strip())
     return int(match[1]) if match else -1
--- a/ponddoor/front/process.py
+++ b/ponddoor/front/process.py
@@ -276,7 +276,7 @@
         )
         config_file = kept.with_suffix(".config") if kept is not None else None
         following = Following(follower, side.instances, self._take_version, config_file)
-        following.refused = self._on_version_refused
+        following.on_version_refused = self._on_version_refused
         return following
 
     def _on_version_refused(self, number: int, reason: str) -> None:
