--- a/ponddoor/front/taking.py
+++ b/ponddoor/front/taking.py
@@ -44,18 +44,18 @@
     site: Site
     groups: dict[str, int]
     tenants: dict[str, int]
-    min_start_target: int  # in us, at the front's start; the fleet's timing derives from it
+    min_start_target_us: int  # at the front's start; the fleet's timing derives from it
     has_entitlements: bool  # at the front's start
     version: int = 0
     digest: str = ""
 
     def number_of_group(self, name: str) -> int | None:
         """The number of a service group that is or was open; None for an unknown name."""
-        return _number(name, self.site.facts.groups)
+        return _number_of(name, self.site.facts.groups)
 
     def number_of_tenant(self, name: str) -> int | None:
         """The number of a tenant that is or was open; 0 for any name while the site has no tenants."""
-        return _number(name, self.site.facts.tenants) if self.site.facts.tenants else 0
+        return _number_of(name, self.site.facts.tenants) if self.site.facts.tenants else 0
 
 
 def initial_terms(site: Site, version: int = 0, digest: str = "") -> Terms:
@@ -63,9 +63,9 @@
     groups, tenants = site.facts.groups, site.facts.tenants
     return Terms(
         site,
-        _open(groups, groups),
-        _open(tenants, tenants),
-        _min_start_target(site),
+        _open_numbers(groups, groups),
+        _open_numbers(tenants, tenants),
+        _min_start_target_us(site),
         bool(site.seats.limits),
         version,
         digest,
@@ -112,45 +112,47 @@
 # In service
 
 
-def reasons_against(held: Terms, version: Site) -> tuple[str, ...]:
+def reasons_against(current: Terms, version: Site) -> tuple[str, ...]:
     """The reasons why a front in service can't take a version; empty if it can."""
     reasons = [
-        f"{name}: only at a start" for name, part in FIXED_PARTS.items() if part(held.site) != part(version)
+        f"{name}: only at a start"
+        for name, part in FIXED_PARTS.items()
+        if part(current.site) != part(version)
     ]
-    if _min_start_target(version) != held.min_start_target:
+    if _min_start_target_us(version) != current.min_start_target_us:
         reasons.append(
-            f"groups: least start target {_min_start_target(version)} us, "
-            f"{held.min_start_target} us until the next start"
+            f"groups: least start target {_min_start_target_us(version)} us, "
+            f"{current.min_start_target_us} us until the next start"
         )
-    if version.seats.limits and not held.has_entitlements:
+    if version.seats.limits and not current.has_entitlements:
         reasons.append("entitlements: none at this front's start")
-    for kind, held_names, new_names in (
-        ("groups", _names(held.site.facts.groups), _names(version.facts.groups)),
-        ("tenants", _names(held.site.facts.tenants), _names(version.facts.tenants)),
+    for kind, current_names, new_names in (
+        ("groups", _names(current.site.facts.groups), _names(version.facts.groups)),
+        ("tenants", _names(current.site.facts.tenants), _names(version.facts.tenants)),
     ):
-        numbers = len(dict.fromkeys([*held_names, *new_names]))
+        numbers = len(dict.fromkeys([*current_names, *new_names]))
         if numbers > MAX_NUMBERS:
             reasons.append(f"{kind}: {numbers} names in this front's life, {MAX_NUMBERS} at most")
-    if bool(held.site.facts.tenants) != bool(version.facts.tenants):
+    if bool(current.site.facts.tenants) != bool(version.facts.tenants):
         # Requests to a site without tenants count for tenant number 0, which would change its meaning
         reasons.append("tenants: none, or the first, only at a start")
     return tuple(reasons)
 
 
-def updated_terms(held: Terms, version: Site, number: int, digest: str) -> Terms:
+def updated_terms(current: Terms, version: Site, number: int, digest: str) -> Terms:
     """The terms of a front after it has taken a version; `reasons_against` must have returned no reason."""
-    old, new = held.site.facts, version.facts
+    old, new = current.site.facts, version.facts
     groups, tenants = _numbered(old.groups, new.groups), _numbered(old.tenants, new.tenants)
     facts = replace(
         old, groups=groups, tenants=tenants, ladder=new.ladder, over_share_utility=new.over_share_utility
     )
-    seats: SeatTerms = replace(held.site.seats, limits=version.seats.limits)
-    site = replace(held.site, facts=facts, titles=version.titles, limits=version.limits, seats=seats)
+    seats: SeatTerms = replace(current.site.seats, limits=version.seats.limits)
+    site = replace(current.site, facts=facts, titles=version.titles, limits=version.limits, seats=seats)
     return replace(
-        held,
+        current,
         site=site,
-        groups=_open(groups, new.groups),
-        tenants=_open(tenants, new.tenants),
+        groups=_open_numbers(groups, new.groups),
+        tenants=_open_numbers(tenants, new.tenants),
         version=number,
         digest=digest,
     )
@@ -162,13 +164,13 @@
     return tuple((by_name | {entry.name: entry for entry in new}).values())
 
 
-def _open(numbered: tuple[T, ...], new: tuple[T, ...]) -> dict[str, int]:
+def _open_numbers(numbered: tuple[T, ...], new: tuple[T, ...]) -> dict[str, int]:
     """The numbers of the entries that a version names, by name."""
     open_names = set(_names(new))
     return {entry.name: number for number, entry in enumerate(numbered) if entry.name in open_names}
 
 
-def _number(name: str, numbered: tuple[T, ...]) -> int | None:
+def _number_of(name: str, numbered: tuple[T, ...]) -> int | None:
     return next((number for number, entry in enumerate(numbered) if entry.name == name), None)
 
 
@@ -176,5 +178,5 @@
     return [entry.name for entry in entries]
 
 
-def _min_start_target(site: Site) -> int:
+def _min_start_target_us(site: Site) -> int:
     return min((group.start_target for group in site.facts.groups), default=0)
--- a/tests/following/test_core.py
+++ b/tests/following/test_core.py
@@ -40,9 +40,11 @@
 
     `refuse_all` makes the front refuse every site, `fail_writes` makes every write fail."""
 
-    def __init__(self, stored: bytes = b"", me: int = 0, fronts: int = 10, instances: int = 5) -> None:
+    def __init__(
+        self, stored: bytes = b"", front_number: int = 0, fronts: int = 10, instances: int = 5
+    ) -> None:
         self.refuse_all = self.fail_writes = False
-        self.core = Follower(me, fronts, instances, 7, 3 * SECOND, Path(), self.reasons_against)
+        self.core = Follower(front_number, fronts, instances, 7, 3 * SECOND, Path(), self.reasons_against)
         self.now, self.disk, self.effects = 1000 * SECOND, stored, list[Effect]()
         self.carry_out(self.core.begin(self.now, 1, stored))
 
@@ -469,7 +471,8 @@
 
 def test_the_fronts_of_a_failed_instance_spread_evenly_over_the_others_and_over_time() -> None:
     fleet = [
-        FrontHarness(me=me, fronts=820).load(USABLE).receive_heartbeat(USABLE) for me in range(0, 820, 5)
+        FrontHarness(front_number=number, fronts=820).load(USABLE).receive_heartbeat(USABLE)
+        for number in range(0, 820, 5)
     ]
     for front in fleet:
         front.carry_out(front.core.connection_lost(front.now, 0, Loss.BROKEN))
@@ -480,7 +483,9 @@
 
 
 def test_tries_during_a_long_outage_are_spread_evenly_over_each_second() -> None:
-    schedules = [ReconnectSchedule(me, 820, SECOND, me, period=OUTAGE_RETRY_PERIOD_US) for me in range(820)]
+    schedules = [
+        ReconnectSchedule(number, 820, SECOND, number, period=OUTAGE_RETRY_PERIOD_US) for number in range(820)
+    ]
     first_tries = [schedule.lost(0, Loss.LATE) for schedule in schedules]
     later_tries = []
     for schedule, moment in zip(schedules, first_tries, strict=True):
@@ -495,7 +500,7 @@
 
 
 def test_a_change_is_reported_and_the_rate_of_reports_is_limited() -> None:
-    front = FrontHarness(me=3).load(USABLE).receive_heartbeat(USABLE).advance(SECOND)
+    front = FrontHarness(front_number=3).load(USABLE).receive_heartbeat(USABLE).advance(SECOND)
     assert sum(isinstance(effect, SendReport) for effect in front.effects) == 1
     for number in range(USABLE + 1, USABLE + 5):
         front.receive_versions(number, number).receive_heartbeat(number).advance(SECOND)
