--- a/ponddoor/front/follower.py
+++ b/ponddoor/front/follower.py
@@ -39,7 +39,7 @@
 from ponddoor.settings.sexpr import MOST_BYTES, Listing, SettingsError, parse
 from ponddoor.settings.site import Site, check
 
-SECOND = 1_000_000
+SECOND = 1_000_000  # in us
 MAX_LINE_BYTES = MOST_BYTES  # of one line of the watch
 MAX_STORED_BYTES = 3 * MOST_BYTES  # the stored file holds up to two states and their encoding
 VERSION_LIMIT = 2**53  # version numbers stay below it
@@ -207,11 +207,11 @@
 
     `front_number` is the front's number, from 0 below `front_count`; `instance_count` is the number of
     configuration instances. `start_limit_us` is how long the configuration may take to arrive at a start; the
-    first tries of all fronts are spread over at most a third of it. `reasons_against` returns the reasons why
-    this front can't take a site in service; an empty tuple means that it can. `silence_timeout_us` is the
-    time without a line after which an instance counts as lost, `report_interval_us` the least time between
-    two reports, `burst_delay_us` the delay from the first line of a burst to its evaluation. All times are in
-    microseconds."""
+    first tries of all fronts are spread over at most a third of it. Paths in a site are relative to `folder`.
+    `reasons_against` returns the reasons why this front can't take a site in service; an empty tuple means
+    that it can. `silence_timeout_us` is the time without a line after which an instance counts as lost,
+    `report_interval_us` the least time between two reports, `burst_delay_us` the delay from the first line of
+    a burst to its evaluation. All times are in microseconds."""
 
     front_number: int
     front_count: int
@@ -246,8 +246,8 @@
     # Instances that were behind the state held here since a leader was last known
     lagging: set[int] = field(default_factory=set)
     behind_head: set[int] = field(default_factory=set)  # instances in a row that stayed behind `head`
-    return_instance: int | None = None  # an instance that answers but knows no leader
-    next_try: int | None = None
+    return_instance: int | None = None  # answers but knows no leader; used after a failed try elsewhere
+    next_try_at: int | None = None
     switch_at: int | None = None  # when to try another instance while this one knows no leader
     evaluate_at: int | None = None
     report_at: int | None = None
@@ -272,8 +272,8 @@
     reports_made: int = 0
     # Instance (-1: this front as a whole) and subject of each condition that was logged
     logged: set[tuple[int, str]] = field(default_factory=set)
-    _order: tuple[int, ...] = ()  # in which this front tries the instances
-    _position: int = 0  # in `_order`, of the instance chosen last
+    _instance_order: tuple[int, ...] = ()  # in which this front tries the instances
+    _position: int = 0  # in `_instance_order`, of the instance chosen last
     _random: SeededRandom = field(init=False)
 
     def __post_init__(self) -> None:
@@ -282,12 +282,12 @@
         )
         self._random = SeededRandom(self.seed ^ 0x2545F4914F6CDD1D)
         self._random.draw(2)
-        first = self.front_number % self.instance_count
-        others = [number for number in range(self.instance_count) if number != first]
+        first_instance = self.front_number % self.instance_count
+        other_instances = [number for number in range(self.instance_count) if number != first_instance]
         # Each front has its own order, so that the watchers of a failed instance spread over all others
-        rotation = (self.front_number // self.instance_count) % max(len(others), 1)
-        self._order = (first, *others[rotation:], *others[:rotation])
-        self.current_instance = first
+        rotation = (self.front_number // self.instance_count) % max(len(other_instances), 1)
+        self._instance_order = (first_instance, *other_instances[rotation:], *other_instances[:rotation])
+        self.current_instance = first_instance
 
     # Events
 
@@ -296,7 +296,7 @@
 
         The stored version in force is put in force at once. If a newer stored version is usable now, it is
         first written as the one in force and takes effect when that write is durable."""
-        self.life, self.next_try = wall_clock_us, self.schedule.start(now)
+        self.life, self.next_try_at = wall_clock_us, self.schedule.start(now)
         self.apart_warning_at = now + 2 * self.silence_timeout_us
         try:
             in_force, newest = self._restore(stored)
@@ -433,7 +433,7 @@
     def run_due(self, now: int) -> list[Effect]:
         """Do what is due by now."""
         effects: list[Effect] = []
-        if self.phase is Phase.DISCONNECTED and self.next_try is not None and now >= self.next_try:
+        if self.phase is Phase.DISCONNECTED and self.next_try_at is not None and now >= self.next_try_at:
             effects += self._connect(now)
         elif self.phase is not Phase.DISCONNECTED and now >= self.last_activity_at + self.silence_timeout_us:
             self.counts["silent"] += 1
@@ -461,7 +461,7 @@
         """When `run_due` is to be called next."""
         due_times = [self.evaluate_at, self.report_at, self.apart_warning_at]
         if self.phase is Phase.DISCONNECTED:
-            due_times.append(self.next_try)
+            due_times.append(self.next_try_at)
         else:
             due_times += [self.last_activity_at + self.silence_timeout_us, self.switch_at]
         return min((due for due in due_times if due is not None), default=None)
@@ -692,7 +692,7 @@
     def _connect(self, now: int) -> list[Effect]:
         """Connect to the current instance: to the watch, or for the full state after a long absence."""
         self.usable_line_received = self.full_state_requested = self.watch_reopened = False
-        self.lines_missing_since = self.instance_behind_since = self.next_try = None
+        self.lines_missing_since = self.instance_behind_since = self.next_try_at = None
         if self._needs_full_state(now):
             return self._request_full_state(now)
         return self._open_watch(now)
@@ -748,7 +748,7 @@
         if self.return_instance is not None and self.current_instance != self.return_instance:
             # No instance knows a leader: after one failed try elsewhere, return to the one that answers
             self.current_instance = self.return_instance
-            self.next_try = now + MIN_RETRY_INTERVAL_US + self._random.draw(RETRY_JITTER_US)
+            self.next_try_at = now + MIN_RETRY_INTERVAL_US + self._random.draw(RETRY_JITTER_US)
             return []
         self.return_instance = None
         self._choose_next_instance()
@@ -756,10 +756,10 @@
             loss
         ):
             self.immediate_retries += 1
-            self.next_try = now + min_wait_us + MIN_RETRY_INTERVAL_US + self._random.draw(RETRY_JITTER_US)
+            self.next_try_at = now + min_wait_us + MIN_RETRY_INTERVAL_US + self._random.draw(RETRY_JITTER_US)
             return []
         self.immediate_retries = 0
-        self.next_try = self.schedule.lost(now, loss, elapsed_us, min_wait_us)
+        self.next_try_at = self.schedule.lost(now, loss, elapsed_us, min_wait_us)
         return []
 
     def _max_immediate_retries(self, loss: Loss) -> int:
@@ -776,11 +776,11 @@
             (self._position + offset) % self.instance_count for offset in range(1, self.instance_count + 1)
         ]
         others = [
-            position for position in positions if self._order[position] != self.current_instance
+            position for position in positions if self._instance_order[position] != self.current_instance
         ] or positions
-        healthy = (position for position in others if self._order[position] not in self.unhealthy)
+        healthy = (position for position in others if self._instance_order[position] not in self.unhealthy)
         self._position = next(healthy, others[0])
-        self.current_instance = self._order[self._position]
+        self.current_instance = self._instance_order[self._position]
 
     def _reject_input(self, now: int, reason: str, detail: str) -> list[Effect]:
         """Count unusable input, log it once per instance and reason, and leave the instance."""
--- a/tests/following/test_core.py
+++ b/tests/following/test_core.py
@@ -26,7 +26,7 @@
 from ponddoor.settings.sexpr import parse
 from ponddoor.settings.site import Site
 
-SECOND = 1_000_000
+SECOND = 1_000_000  # in us
 VERSIONS = committed()  # version n is the entry n - 1
 
 
@@ -478,7 +478,7 @@
         front.carry_out(front.core.connection_lost(front.now, 0, Loss.BROKEN))
     # 164 fronts spread over the 4 remaining instances
     assert max(Counter(front.core.current_instance for front in fleet).values()) == 41
-    waits = sorted((front.core.next_try or 0) - front.now for front in fleet)
+    waits = sorted((front.core.next_try_at or 0) - front.now for front in fleet)
     assert waits[-1] <= 2 * SECOND // 3 + MIN_RETRY_INTERVAL_US and waits[82] >= 2 * SECOND // 9
 
 
