--- a/ponddoor/front/follower.py
+++ b/ponddoor/front/follower.py
@@ -39,7 +39,7 @@
 from ponddoor.settings.sexpr import MOST_BYTES, Listing, SettingsError, parse
 from ponddoor.settings.site import Site, check
 
-SECOND = 1_000_000
+SECOND = 1_000_000  # in us
 MAX_LINE_BYTES = MOST_BYTES  # of one line of the watch
 MAX_STORED_BYTES = 3 * MOST_BYTES  # the stored file holds up to two states and their encoding
 VERSION_LIMIT = 2**53  # version numbers stay below it
@@ -134,21 +134,21 @@
     apart: bool = False
 
 
-class _Written(msgspec.Struct, frozen=True):
+class _StoredState(msgspec.Struct, frozen=True):
     """A state on disk. Each item is its key, text and place."""
 
     number: int
     items: list[tuple[str, str, int]]
 
 
-class _Body(msgspec.Struct, frozen=True):
+class _StoredBody(msgspec.Struct, frozen=True):
     """The state in force, and the newest verified state where it is a later one."""
 
-    in_force: _Written
-    newest: _Written | None = None
+    in_force: _StoredState
+    newest: _StoredState | None = None
 
 
-class _Head(msgspec.Struct, frozen=True):
+class _StoredHeader(msgspec.Struct, frozen=True):
     """The first line of the stored file.
 
     `floor` and `life` stand here under the checksum `own`, so that they survive a damaged body. `size` is the
@@ -161,7 +161,7 @@
     body: str
     own: str = ""
 
-    def sum(self) -> str:
+    def checksum(self) -> str:
         text = f"{self.format} {self.floor} {self.life} {self.size} {self.body}"
         return xxhash.xxh3_64_hexdigest(text)
 
@@ -179,19 +179,19 @@
     items: dict[str, Item] = field(default_factory=dict)
     forms: dict[str, Listing] = field(default_factory=dict)
     digest: str = ""
-    size: int = 0  # characters of all item texts
+    char_count: int = 0  # of all item texts
 
     def copy(self) -> "State":
-        return State(self.number, dict(self.items), dict(self.forms), self.digest, self.size)
+        return State(self.number, dict(self.items), dict(self.forms), self.digest, self.char_count)
 
-    def written(self) -> _Written:
-        return _Written(self.number, [(key, item.text, item.place) for key, item in self.items.items()])
+    def to_stored(self) -> _StoredState:
+        return _StoredState(self.number, [(key, item.text, item.place) for key, item in self.items.items()])
 
 
 class Phase(Enum):
     """State of the connection to the current instance."""
 
-    AWAY = "away"
+    DISCONNECTED = "away"
     WATCHING = "watching"
     FETCHING = "fetching"
 
@@ -205,22 +205,24 @@
 class Follower:
     """The follower of one front.
 
-    `me` is the front's number, from 0 below `fronts`; `instances` is the number of configuration instances.
-    `usable` returns the reasons reason this front can't take a site in service; an empty tuple means that it
-    can. `silence` is the time without a line after which an instance counts as lost, `report_every` the least
-    time between two reports, `settle` the delay from the first line of a burst to its evaluation. All times
-    are in microseconds."""
-
-    me: int
-    fronts: int
-    instances: int
+    `front_number` is the front's number, from 0 below `front_count`; `instance_count` is the number of
+    configuration instances. `start_limit_us` is how long the configuration may take to arrive at a start; the
+    first tries of all fronts are spread over at most a third of it. Paths in a site are relative to `folder`.
+    `reasons_against` returns the reasons why this front can't take a site in service; an empty tuple means
+    that it can. `silence_timeout_us` is the time without a line after which an instance counts as lost,
+    `report_interval_us` the least time between two reports, `burst_delay_us` the delay from the first line of
+    a burst to its evaluation. All times are in microseconds."""
+
+    front_number: int
+    front_count: int
+    instance_count: int
     seed: int
-    grace: int
+    start_limit_us: int
     folder: Path
-    usable: Callable[[Site], tuple[str, ...]]
-    silence: int = 3 * SECOND
-    report_every: int = 5 * SECOND
-    settle: int = SECOND // 10
+    reasons_against: Callable[[Site], tuple[str, ...]]
+    silence_timeout_us: int = 3 * SECOND
+    report_interval_us: int = 5 * SECOND
+    burst_delay_us: int = SECOND // 10
 
     version: int = 0  # in force; 0: none yet
     digest: str = ""
@@ -237,15 +239,15 @@
     burst: deque[State] = field(default_factory=lambda: deque(maxlen=MAX_BURST_STATES))
 
     current_instance: int = 0
-    phase: Phase = Phase.AWAY
+    phase: Phase = Phase.DISCONNECTED
     schedule: ReconnectSchedule = field(init=False)
     # Instances that were lost, lagging or without a leader since a leader was last known
     unhealthy: set[int] = field(default_factory=set)
     # Instances that were behind the state held here since a leader was last known
     lagging: set[int] = field(default_factory=set)
     behind_head: set[int] = field(default_factory=set)  # instances in a row that stayed behind `head`
-    return_instance: int | None = None  # an instance that answers but knows no leader
-    next_try: int | None = None
+    return_instance: int | None = None  # answers but knows no leader; used after a failed try elsewhere
+    next_try_at: int | None = None
     switch_at: int | None = None  # when to try another instance while this one knows no leader
     evaluate_at: int | None = None
     report_at: int | None = None
@@ -270,52 +272,58 @@
     reports_made: int = 0
     # Instance (-1: this front as a whole) and subject of each condition that was logged
     logged: set[tuple[int, str]] = field(default_factory=set)
-    _order: tuple[int, ...] = ()  # in which this front tries the instances
-    _position: int = 0  # in `_order`, of the instance chosen last
+    _instance_order: tuple[int, ...] = ()  # in which this front tries the instances
+    _position: int = 0  # in `_instance_order`, of the instance chosen last
     _random: SeededRandom = field(init=False)
 
     def __post_init__(self) -> None:
         self.schedule = ReconnectSchedule(
-            self.me, self.fronts, self.grace, self.seed, period=OUTAGE_RETRY_PERIOD_US
+            self.front_number, self.front_count, self.start_limit_us, self.seed, period=OUTAGE_RETRY_PERIOD_US
         )
         self._random = SeededRandom(self.seed ^ 0x2545F4914F6CDD1D)
         self._random.draw(2)
-        first = self.me % self.instances
-        others = [number for number in range(self.instances) if number != first]
+        first_instance = self.front_number % self.instance_count
+        other_instances = [number for number in range(self.instance_count) if number != first_instance]
         # Each front has its own order, so that the watchers of a failed instance spread over all others
-        cut = (self.me // self.instances) % max(len(others), 1)
-        self._order = (first, *others[cut:], *others[:cut])
-        self.current_instance = first
+        rotation = (self.front_number // self.instance_count) % max(len(other_instances), 1)
+        self._instance_order = (first_instance, *other_instances[rotation:], *other_instances[:rotation])
+        self.current_instance = first_instance
 
     # Events
 
-    def begin(self, now: int, wall: int, kept: bytes) -> list[Effect]:
-        """Start with the stored bytes `kept`; `wall` is the Unix time in microseconds.
+    def begin(self, now: int, wall_clock_us: int, stored: bytes) -> list[Effect]:
+        """Start with the bytes of the stored file; `wall_clock_us` is the Unix time.
 
         The stored version in force is put in force at once. If a newer stored version is usable now, it is
         first written as the one in force and takes effect when that write is durable."""
-        self.life, self.next_try = wall, self.schedule.start(now)
-        self.apart_warning_at = now + 2 * self.silence
+        self.life, self.next_try_at = wall_clock_us, self.schedule.start(now)
+        self.apart_warning_at = now + 2 * self.silence_timeout_us
         try:
-            in_force, newest = self._restore(kept)
+            in_force, newest = self._restore(stored)
         except UnusableError as problem:
-            return [LogEvent("error", "config-kept-unusable", f"{problem}; floor {self.floor}")]
+            return [LogEvent("error", "config-kept-unusable", f"{problem}; version floor {self.floor}")]
         if not newest.number:
             return []
         self.verified = self.unverified = newest
         self.head = newest.number
         site, reason = self._usable_site(in_force) if in_force.number else (None, "")
-        newer, newest_reason = self._usable_site(newest) if newest is not in_force else (None, "")
-        if newer is not None:
+        newest_site, newest_reason = self._usable_site(newest) if newest is not in_force else (None, "")
+        if newest_site is not None:
             self.fallback = (in_force, site) if site is not None else None
-            return self._persist(newest, newer)
+            return self._persist(newest, newest_site)
         if newest is not in_force:
             self.refused = (newest.number, newest_reason)
         if not in_force.number:
             return []
         if site is None:
             self.refused = (newest.number, newest_reason or reason)
-            return [LogEvent("error", "config-kept-refused", f"version {in_force.number}: {reason}")]
+            return [
+                LogEvent(
+                    "error",
+                    "config-kept-refused",
+                    f"stored version {in_force.number} can't be used: {reason}",
+                )
+            ]
         return [self._put_in_force(now, in_force, site), *self._persist(in_force, None)]
 
     def receive_line(self, now: int, instance: int, data: bytes) -> list[Effect]:
@@ -328,9 +336,9 @@
         try:
             line = msgspec.json.decode(data, type=_Line)
         except (msgspec.MsgspecError, RecursionError):
-            return self._reject_input(now, "nonsense", f"{data[:60]!r}")
+            return self._reject_input(now, "nonsense", f"malformed line {data[:60]!r}")
         if not (0 < line.version < VERSION_LIMIT or 0 <= line.beat < VERSION_LIMIT):
-            return self._reject_input(now, "nonsense", f"{data[:60]!r}")
+            return self._reject_input(now, "nonsense", f"no valid version number in line {data[:60]!r}")
         self.last_activity_at = now
         if line.version:
             return self._receive_version(now, line)
@@ -344,7 +352,11 @@
             self.counts["late"] += 1
             return []
         if not 0 <= number < VERSION_LIMIT or len(text) > MOST_BYTES:
-            return self._reject_input(now, "oversize", f"version {number} of {len(text)} characters")
+            return self._reject_input(
+                now,
+                "oversize",
+                f"full state of {len(text)} characters, at most {MOST_BYTES}, as version {number}",
+            )
         if self._behind_own_state(number):
             return self._reject_lagging_instance(now, number)
         if self._newer_than_verified(number):
@@ -382,13 +394,15 @@
         return self._request_full_state(now)
 
     def connection_lost(
-        self, now: int, instance: int, loss: Loss, gone: int = 0, stay_away: int = 0
+        self, now: int, instance: int, loss: Loss, elapsed_us: int = 0, min_wait_us: int = 0
     ) -> list[Effect]:
-        """Process the end or the failure of the watch or of the request for the full state."""
-        if instance != self.current_instance or self.phase is Phase.AWAY:
+        """Process the end or the failure of the watch or of the request for the full state.
+
+        It was lost `elapsed_us` ago; `min_wait_us` is the wait that the instance asked for, 0 if none."""
+        if instance != self.current_instance or self.phase is Phase.DISCONNECTED:
             self.counts["late"] += 1
             return []
-        return self._switch_instance(now, loss, gone, stay_away)
+        return self._switch_instance(now, loss, elapsed_us, min_wait_us)
 
     def write_finished(self, now: int, number: int, ok: bool) -> list[Effect]:
         """Process the result of the write `number`: durable or failed."""
@@ -404,26 +418,26 @@
         if site is None:
             self._schedule_evaluation(now)
             return []
-        taken = self._put_in_force(now, state, site)
+        effect = self._put_in_force(now, state, site)
         self._schedule_evaluation(now)
-        return [taken]
+        return [effect]
 
     def report_finished(self, now: int, ok: bool) -> list[Effect]:
         """Process the result of the last report: delivered or failed."""
         self.report_in_flight = False
         if not ok:
             self.counts["not-told"] += 1
-            self.report_at = now + self.report_every
+            self.report_at = now + self.report_interval_us
         return []
 
     def run_due(self, now: int) -> list[Effect]:
         """Do what is due by now."""
         effects: list[Effect] = []
-        if self.phase is Phase.AWAY and self.next_try is not None and now >= self.next_try:
+        if self.phase is Phase.DISCONNECTED and self.next_try_at is not None and now >= self.next_try_at:
             effects += self._connect(now)
-        elif self.phase is not Phase.AWAY and now >= self.last_activity_at + self.silence:
+        elif self.phase is not Phase.DISCONNECTED and now >= self.last_activity_at + self.silence_timeout_us:
             self.counts["silent"] += 1
-            effects += [Disconnect(), *self._switch_instance(now, Loss.SILENT, self.silence)]
+            effects += [Disconnect(), *self._switch_instance(now, Loss.SILENT, self.silence_timeout_us)]
         elif self.switch_at is not None and now >= self.switch_at:
             self.switch_at = None
             self._choose_next_instance()
@@ -445,12 +459,12 @@
     @property
     def next_due(self) -> int | None:
         """When `run_due` is to be called next."""
-        moments = [self.evaluate_at, self.report_at, self.apart_warning_at]
-        if self.phase is Phase.AWAY:
-            moments.append(self.next_try)
+        due_times = [self.evaluate_at, self.report_at, self.apart_warning_at]
+        if self.phase is Phase.DISCONNECTED:
+            due_times.append(self.next_try_at)
         else:
-            moments += [self.last_activity_at + self.silence, self.switch_at]
-        return min((moment for moment in moments if moment is not None), default=None)
+            due_times += [self.last_activity_at + self.silence_timeout_us, self.switch_at]
+        return min((due for due in due_times if due is not None), default=None)
 
     # Rules, each of which a mutant of the simulation disables (ponddoor/config/followers_mutants.py)
 
@@ -486,7 +500,7 @@
 
     def _rejection_reasons(self, site: Site) -> tuple[str, ...]:
         """Why this front can't use a site that passed the checks of a site file."""
-        return self.usable(site)
+        return self.reasons_against(site)
 
     def _lines_overdue(self, now: int) -> bool:
         """Whether lines were lost on a live connection, where heartbeats alone would keep the watch open for
@@ -543,7 +557,7 @@
         self.watch_reopened, self.lines_missing_since = False, None
         if self.evaluate_at is None:
             # Set by the first line only: a burst is evaluated once, a steady stream can't defer it for ever
-            self.evaluate_at = now + self.settle
+            self.evaluate_at = now + self.burst_delay_us
         return self._note_usable_line(now)
 
     def _with_steps(self, line: _Line) -> State:
@@ -560,7 +574,7 @@
         # Only the order of places counts: new items come last, in the order of the places in the line
         for step in sorted(line.steps, key=lambda step: step.place):
             held = state.items.pop(step.key, None) if step.after is None else state.items.get(step.key)
-            state.size -= len(held.text) if held is not None else 0
+            state.char_count -= len(held.text) if held is not None else 0
             if step.after is None:
                 state.forms.pop(step.key, None)
                 continue
@@ -568,10 +582,10 @@
             text = str(forms[step.key])
             state.items[step.key] = Item(text, line.version, place if held is None else held.place)
             state.forms[step.key] = forms[step.key]
-            state.size += len(text)
+            state.char_count += len(text)
         state.number, state.digest = line.version, line.digest[:MAX_DIGEST_CHARS]
-        if len(state.items) > MOST_KEYS or state.size > MOST_BYTES:
-            raise UnusableError(f"state too large: {len(state.items)} keys, {state.size} characters")
+        if len(state.items) > MOST_KEYS or state.char_count > MOST_BYTES:
+            raise UnusableError(f"state too large: {len(state.items)} keys, {state.char_count} characters")
         return state
 
     def _parse_state(self, number: int, text: str, digest: str) -> State:
@@ -612,9 +626,9 @@
             self.instance_behind_since = (
                 now if self.instance_behind_since is None else self.instance_behind_since
             )
-            if now - self.instance_behind_since >= self.silence:
+            if now - self.instance_behind_since >= self.silence_timeout_us:
                 self.behind_head.add(self.current_instance)
-                if len(self.behind_head) < self.instances:
+                if len(self.behind_head) < self.instance_count:
                     self.counts["lagging"] += 1
                     return [Disconnect(), *self._switch_instance(now, Loss.BROKEN)]
                 # Otherwise a version that one instance named and no other has would cost every connection
@@ -659,8 +673,8 @@
         if self.apart_since is None:
             self._note_apart_since(now)
             self._schedule_report(now)
-        if self.switch_at is None and self.instances > 1:
-            all_tried = len(self.unhealthy) >= self.instances
+        if self.switch_at is None and self.instance_count > 1:
+            all_tried = len(self.unhealthy) >= self.instance_count
             self.switch_at = (
                 now + MEAN_SEARCH_INTERVAL_US // 2 + self._random.draw(MEAN_SEARCH_INTERVAL_US)
                 if all_tried
@@ -668,17 +682,17 @@
             )
         return []
 
-    def _note_apart_since(self, moment: int) -> None:
+    def _note_apart_since(self, since: int) -> None:
         if self.apart_since is None:
-            self.apart_since = moment
-            self.apart_warning_at = moment + 2 * self.silence
+            self.apart_since = since
+            self.apart_warning_at = since + 2 * self.silence_timeout_us
 
     # Instances
 
     def _connect(self, now: int) -> list[Effect]:
         """Connect to the current instance: to the watch, or for the full state after a long absence."""
         self.usable_line_received = self.full_state_requested = self.watch_reopened = False
-        self.lines_missing_since = self.instance_behind_since = self.next_try = None
+        self.lines_missing_since = self.instance_behind_since = self.next_try_at = None
         if self._needs_full_state(now):
             return self._request_full_state(now)
         return self._open_watch(now)
@@ -712,27 +726,29 @@
         self.counts["lagging"] += 1
         self.lagging.add(self.current_instance)
         effects: list[Effect] = []
-        if len(self.lagging) == self.instances and self._first_for_front("ahead"):
+        if len(self.lagging) == self.instance_count and self._first_for_front("ahead"):
             versions = (
                 f"version {max(self.verified.number, self.floor)} here, "
                 f"{number} at instance {self.current_instance}"
             )
             effects.append(LogEvent("error", "config-ahead-of-all", versions))
         if not self.report_in_flight and (
-            self.last_report_at is None or now >= self.last_report_at + self.report_every
+            self.last_report_at is None or now >= self.last_report_at + self.report_interval_us
         ):
             effects.append(self._next_report(now))
         return effects + self._switch_instance(now, Loss.BROKEN)
 
-    def _switch_instance(self, now: int, loss: Loss, gone: int = 0, stay_away: int = 0) -> list[Effect]:
+    def _switch_instance(
+        self, now: int, loss: Loss, elapsed_us: int = 0, min_wait_us: int = 0
+    ) -> list[Effect]:
         """Leave the current instance and schedule the connection to the next one."""
-        self.phase, self.switch_at = Phase.AWAY, None
+        self.phase, self.switch_at = Phase.DISCONNECTED, None
         self.unhealthy.add(self.current_instance)
-        self._note_apart_since(now - gone)
+        self._note_apart_since(now - elapsed_us)
         if self.return_instance is not None and self.current_instance != self.return_instance:
             # No instance knows a leader: after one failed try elsewhere, return to the one that answers
             self.current_instance = self.return_instance
-            self.next_try = now + MIN_RETRY_INTERVAL_US + self._random.draw(RETRY_JITTER_US)
+            self.next_try_at = now + MIN_RETRY_INTERVAL_US + self._random.draw(RETRY_JITTER_US)
             return []
         self.return_instance = None
         self._choose_next_instance()
@@ -740,10 +756,10 @@
             loss
         ):
             self.immediate_retries += 1
-            self.next_try = now + stay_away + MIN_RETRY_INTERVAL_US + self._random.draw(RETRY_JITTER_US)
+            self.next_try_at = now + min_wait_us + MIN_RETRY_INTERVAL_US + self._random.draw(RETRY_JITTER_US)
             return []
         self.immediate_retries = 0
-        self.next_try = self.schedule.lost(now, loss, gone, stay_away)
+        self.next_try_at = self.schedule.lost(now, loss, elapsed_us, min_wait_us)
         return []
 
     def _max_immediate_retries(self, loss: Loss) -> int:
@@ -752,17 +768,19 @@
         After a refusal all others may be tried, as the network path works. After a time-out the machine may
         be down, and one more is tried, so that a few failed machines cost no period. More tries would bring a
         fleet that was cut off back within one second."""
-        return {Loss.REFUSED: self.instances - 1, Loss.LATE: 1}.get(loss, 0)
+        return {Loss.REFUSED: self.instance_count - 1, Loss.LATE: 1}.get(loss, 0)
 
     def _choose_next_instance(self) -> None:
         """Choose the next instance in this front's order, a healthy one if there is any."""
-        positions = [(self._position + offset) % self.instances for offset in range(1, self.instances + 1)]
+        positions = [
+            (self._position + offset) % self.instance_count for offset in range(1, self.instance_count + 1)
+        ]
         others = [
-            position for position in positions if self._order[position] != self.current_instance
+            position for position in positions if self._instance_order[position] != self.current_instance
         ] or positions
-        healthy = (position for position in others if self._order[position] not in self.unhealthy)
+        healthy = (position for position in others if self._instance_order[position] not in self.unhealthy)
         self._position = next(healthy, others[0])
-        self.current_instance = self._order[self._position]
+        self.current_instance = self._instance_order[self._position]
 
     def _reject_input(self, now: int, reason: str, detail: str) -> list[Effect]:
         """Count unusable input, log it once per instance and reason, and leave the instance."""
@@ -814,7 +832,9 @@
             self.counts["refused"] += 1
             self.refused = (state.number, reason)
             self._schedule_report(now)
-            effects.append(LogEvent("warning", "config-refused", f"version {state.number}: {reason}"))
+            effects.append(
+                LogEvent("warning", "config-refused", f"version {state.number} can't be used: {reason}")
+            )
             for candidate in reversed(earlier):
                 if (
                     self._newer_than_in_force(candidate.number)
@@ -831,9 +851,9 @@
     def _verify_digest(self, state: State) -> bool:
         """Whether a state built from steps has the digest stated; replaces that by the computed one."""
         digest = digest_of(assembled(state.items, state.forms))
-        same = self._digest_matches(digest, state.digest)
+        matches = self._digest_matches(digest, state.digest)
         state.digest = digest
-        return same
+        return matches
 
     def _drop_unverified(self) -> None:
         self.unverified = self.verified
@@ -872,19 +892,19 @@
         self.writes_started += 1
         self.pending_write = (self.writes_started, state, site)
         in_force = state if site is not None else self.in_force
-        newest = self.verified.written() if self.verified.number > in_force.number else None
-        body = msgspec.msgpack.encode(_Body(in_force.written(), newest))
+        newest = self.verified.to_stored() if self.verified.number > in_force.number else None
+        body = msgspec.msgpack.encode(_StoredBody(in_force.to_stored(), newest))
         floor = max(in_force.number, self.floor)
-        head = _Head(STORED_FORMAT, floor, self.life, len(body), xxhash.xxh3_64_hexdigest(body))
-        head = msgspec.structs.replace(head, own=head.sum())
-        return [Persist(self.writes_started, msgspec.json.encode(head) + b"\n" + body)]
+        header = _StoredHeader(STORED_FORMAT, floor, self.life, len(body), xxhash.xxh3_64_hexdigest(body))
+        header = msgspec.structs.replace(header, own=header.checksum())
+        return [Persist(self.writes_started, msgspec.json.encode(header) + b"\n" + body)]
 
     def _write_failed(self, now: int, state: State) -> list[Effect]:
         self.counts["not-kept"] += 1
         effects: list[Effect] = []
         if self._first_for_front("not-kept"):
             effects.append(
-                LogEvent("error", "config-not-kept", f"version {state.number} could not be written")
+                LogEvent("error", "config-not-kept", f"version {state.number} could not be written to disk")
             )
         if self.fallback is not None:
             effects.append(self._put_in_force(now, *self.fallback))
@@ -892,63 +912,65 @@
         self.evaluate_at = now + WRITE_RETRY_INTERVAL_US
         return effects
 
-    def _restore(self, kept: bytes) -> tuple[State, State]:
+    def _restore(self, stored_bytes: bytes) -> tuple[State, State]:
         """The stored state in force and the newest stored state.
 
-        Sets the floor and the life if the head is readable. Raises UnusableError if there is stored data that
-        can't be used."""
-        if not kept:
+        Sets the floor and the life if the header is readable. Raises UnusableError if there is stored data
+        that can't be used."""
+        if not stored_bytes:
             return State(), State()
-        if len(kept) > MAX_STORED_BYTES:
-            raise UnusableError(f"stored file of {len(kept)} bytes, at most {MAX_STORED_BYTES}")
-        head_line, _, body = kept.partition(b"\n")
+        if len(stored_bytes) > MAX_STORED_BYTES:
+            raise UnusableError(f"stored file of {len(stored_bytes)} bytes, at most {MAX_STORED_BYTES}")
+        header_line, _, body = stored_bytes.partition(b"\n")
         try:
-            head = msgspec.json.decode(head_line, type=_Head)
+            header = msgspec.json.decode(header_line, type=_StoredHeader)
         except msgspec.MsgspecError:
-            raise UnusableError("stored file has no readable head") from None
-        if head.own != head.sum():
-            raise UnusableError("stored file has a damaged head")
+            raise UnusableError("stored file has no readable header") from None
+        if header.own != header.checksum():
+            raise UnusableError("stored file has a damaged header")
         # If the wall clock was set back, the reports of this life would otherwise count as outdated
-        self.floor, self.life = head.floor, max(self.life, head.life + 1)
-        if head.format != STORED_FORMAT:
-            raise UnusableError(f"stored file has format {head.format}, expected {STORED_FORMAT}")
-        if len(body) < head.size:
-            raise UnusableError(f"stored file is truncated: {len(body)} of {head.size} bytes")
-        if xxhash.xxh3_64_hexdigest(body) != head.body:
+        self.floor, self.life = header.floor, max(self.life, header.life + 1)
+        if header.format != STORED_FORMAT:
+            raise UnusableError(f"stored file has format {header.format}, expected {STORED_FORMAT}")
+        if len(body) < header.size:
+            raise UnusableError(f"stored file is truncated: {len(body)} of {header.size} bytes")
+        if xxhash.xxh3_64_hexdigest(body) != header.body:
             raise UnusableError("stored file has a damaged body")
         try:
-            stored = msgspec.msgpack.decode(body, type=_Body)
+            stored = msgspec.msgpack.decode(body, type=_StoredBody)
             in_force = self._decode_state(stored.in_force)
             return in_force, in_force if stored.newest is None else self._decode_state(stored.newest)
         except (msgspec.MsgspecError, MalformedError, RecursionError) as problem:
             raise UnusableError(f"stored file can't be decoded: {str(problem)[:MAX_REASON_CHARS]}") from None
 
-    def _decode_state(self, written: _Written) -> State:
+    def _decode_state(self, stored: _StoredState) -> State:
         """Raises MalformedError."""
-        forms = {key: form_of(key, text) for key, text, _ in written.items}
-        items = {key: Item(text, written.number, place) for key, text, place in written.items}
-        size = sum(len(item.text) for item in items.values())
+        forms = {key: form_of(key, text) for key, text, _ in stored.items}
+        items = {key: Item(text, stored.number, place) for key, text, place in stored.items}
+        char_count = sum(len(item.text) for item in items.values())
         digest = digest_of(assembled(items, forms)) if items else ""
-        return State(written.number, items, forms, digest, size)
+        return State(stored.number, items, forms, digest, char_count)
 
     # Reports
 
     def _schedule_report(self, now: int) -> None:
-        """Schedule a report in this front's share of the next second, `report_every` after the last at the
-        earliest."""
+        """Schedule a report in this front's share of the next second, `report_interval_us` after the last one
+        at the earliest."""
         if self.report_at is None:
-            slot = SECOND // max(self.fronts, 1)
-            delay = slot * self.me + self._random.draw(max(slot, 1))
-            earliest = 0 if self.last_report_at is None else self.last_report_at + self.report_every
+            slot = SECOND // max(self.front_count, 1)
+            delay = slot * self.front_number + self._random.draw(max(slot, 1))
+            earliest = 0 if self.last_report_at is None else self.last_report_at + self.report_interval_us
             self.report_at = max(now + delay, earliest)
 
     def _send_due_report(self, now: int) -> list[Effect]:
-        if self.phase is Phase.AWAY or not self.usable_line_received:
+        if self.phase is Phase.DISCONNECTED or not self.usable_line_received:
             self.report_at = None  # the first usable line schedules it anew
             return []
         if self.last_report_at is not None:
             # An unanswered report is given up after two report intervals
-            next_report_at = self.last_report_at + (2 if self.report_in_flight else 1) * self.report_every
+            next_report_at = (
+                self.last_report_at + (2 if self.report_in_flight else 1) * self.report_interval_us
+            )
             if now < next_report_at:
                 self.report_at = next_report_at
                 return []
@@ -958,18 +980,18 @@
     def _next_report(self, now: int) -> SendReport:
         self.reports_made, self.report_in_flight, self.last_report_at = self.reports_made + 1, True, now
         refused, reason = self.refused
-        apart = 0 if self.apart_since is None else (now - self.apart_since) // 1000
-        age = (now - self.in_force_since) // 1000 if self.version else 0
+        apart_ms = 0 if self.apart_since is None else (now - self.apart_since) // 1000
+        age_ms = (now - self.in_force_since) // 1000 if self.version else 0
         report = Report(
-            self.me,
+            self.front_number,
             self.life,
             self.reports_made,
             self.version,
             self.digest,
-            age,
+            age_ms,
             self.head,
             refused,
             reason,
-            apart,
+            apart_ms,
         )
         return SendReport(self.current_instance, report)
