--- a/ponddoor/front/engine.py
+++ b/ponddoor/front/engine.py
@@ -172,7 +172,7 @@
         full_key = (request.tenant, repeat_key) if repeat_key is not None else None
         if full_key is not None and (session := self._repeats.get(full_key)) is not None:
             if session.request != request:
-                raise RepeatError("the idempotency key was already used with a different request")
+                raise RepeatError("the key was used with another request")
             return session, []
         refusal = self.gate.refusal(
             now, self.requests_in_hand, self.sessions_held, len(self._repeats) if full_key else -1
--- a/ponddoor/web/server.py
+++ b/ponddoor/web/server.py
@@ -20,7 +20,7 @@
 
 _READ_BYTES = 65_536
 BodyT = TypeVar("BodyT")
-_CONNECTION_LIMIT_BODY = b'{"error":"too-many-connections","detail":"connection limit reached"}'
+_CONNECTION_LIMIT_BODY = b'{"error":"too-many-connections","detail":"no room for this connection"}'
 
 
 @dataclass(frozen=True, slots=True)
@@ -289,7 +289,7 @@
                 if data is None:
                     if not begun and head is None:
                         return None  # idle timeout between two requests: the client expects no response
-                    raise HttpError(408, "too-slow", "the request was not complete within the time limit")
+                    raise HttpError(408, "too-slow", "the request did not come in time")
                 if data == b"" and head is None and not begun:
                     return None
                 if not begun and data:
