--- a/ponddoor/front/seating.py
+++ b/ponddoor/front/seating.py
@@ -205,7 +205,7 @@
         self._apply_effects(self.core.durable(self.clock(), number - self._records_at_start))
         if (
             self._records_since_snapshot >= SNAPSHOT_AFTER_RECORDS
-            and self._journal.durable == self._journal.next_number - 1
+            and self._journal.durable_number == self._journal.next_number - 1
         ):
             self._journal.snapshot(self.core.state())
             self._records_since_snapshot = 0
--- a/ponddoor/raft/member.py
+++ b/ponddoor/raft/member.py
@@ -237,7 +237,7 @@
 
     def _durable(self, number: int) -> None:
         self._carry(self.raft.durable(number - self._first_write))
-        if self._records >= FOLD_AFTER and self._journal.durable == self._journal.next_number - 1:
+        if self._records >= FOLD_AFTER and self._journal.durable_number == self._journal.next_number - 1:
             self._journal.snapshot(self._kept.state())
             self._records = 0
 
--- a/ponddoor/store/committer.py
+++ b/ponddoor/store/committer.py
@@ -44,7 +44,7 @@
                 written = await asyncio.to_thread(self._journal.write, batch)
                 self._durable(self._journal.settle(written))
             except DiskError as problem:
-                if not problem.full or self._journal.failed:
+                if not problem.full or self._journal.failure:
                     self._failed(str(problem))
                     return
                 self.full += 1
--- a/ponddoor/store/journal.py
+++ b/ponddoor/store/journal.py
@@ -59,8 +59,8 @@
     files: Files
     segment_bytes: int = 4_000_000
     next_number: int = 1
-    durable: int = 0
-    failed: str = ""
+    durable_number: int = 0
+    failure: str = ""
     _segment: str = ""
     _size: int = 0
     _pending: list[bytes] = field(default_factory=list)
@@ -110,7 +110,7 @@
             raise DamagedError(f"{broken_at}, but records up to {newest} were durable")
         if broken_at and not dropped:
             dropped.append(broken_at)
-        self.next_number, self.durable = number, number - 1
+        self.next_number, self.durable_number = number, number - 1
         if broken_at or dropped:
             self._cut_off(segments, number)
         self._segment, self._size = "", 0
@@ -130,12 +130,12 @@
         self.files.sync_names()
 
     def append(self, record: Any) -> int:
-        """Take a record in; returns its number. It is durable when `durable` has reached that."""
-        if self.failed:
-            raise StoppedError(self.failed)
+        """Take a record in; returns its number. It is durable when `durable_number` has reached that."""
+        if self.failure:
+            raise StoppedError(self.failure)
         number = self.next_number
         self.next_number += 1
-        self._pending.append(_frame(number, self.durable, record))
+        self._pending.append(_frame(number, self.durable_number, record))
         return number
 
     def commit(self) -> int:
@@ -148,8 +148,8 @@
 
     def take(self) -> "Batch":
         """The first of commit's three parts: what there is to write."""
-        if self.failed:
-            raise StoppedError(self.failed)
+        if self.failure:
+            raise StoppedError(self.failure)
         taken, self._pending = self._pending, []
         return Batch(taken, self.next_number - 1)
 
@@ -159,7 +159,7 @@
             return batch
         fresh = not self._segment
         if fresh:
-            self._segment, self._size = f"journal-{self.durable + 1:020d}.log", 0
+            self._segment, self._size = f"journal-{self.durable_number + 1:020d}.log", 0
         data = b"".join(batch.frames)
         try:
             self.files.append(self._segment, data)
@@ -172,7 +172,7 @@
             if fresh:
                 self.files.sync_names()
         except DiskError as problem:
-            self.failed = f"sync failed: {problem}"
+            self.failure = f"sync failed: {problem}"
             raise
         self._size += len(data)
         if self._size >= self.segment_bytes:
@@ -181,8 +181,8 @@
 
     def settle(self, batch: "Batch") -> int:
         """The third: what was written is durable."""
-        self.durable = max(self.durable, batch.upto) if batch.frames else self.durable
-        return self.durable
+        self.durable_number = max(self.durable_number, batch.upto) if batch.frames else self.durable_number
+        return self.durable_number
 
     def _undo(self, problem: DiskError) -> None:
         """A write that was cut is taken back; where that fails too, the store has failed."""
@@ -193,14 +193,14 @@
                 return
             except DiskError as again:
                 problem = again
-        self.failed = f"write failed: {problem}"
+        self.failure = f"write failed: {problem}"
 
     def snapshot(self, state: Any) -> None:
         """Keep a state that holds all committed records, and forget those. It is written beside, synced and
         renamed in; only then are old files removed."""
-        if self.failed:
-            raise StoppedError(self.failed)
-        upto = self.durable
+        if self.failure:
+            raise StoppedError(self.failure)
+        upto = self.durable_number
         name, beside = f"state-{upto:020d}.snap", f"state-{upto:020d}.new"
         try:
             self.files.remove(beside)
@@ -210,7 +210,7 @@
             self.files.sync_names()
         except DiskError as problem:
             if not problem.full:
-                self.failed = f"snapshot failed: {problem}"
+                self.failure = f"snapshot failed: {problem}"
             raise
         self._segment = ""
         for old in self.files.names():
--- a/ponddoor/world.py
+++ b/ponddoor/world.py
@@ -147,7 +147,7 @@
             self.on_crash(machine)
             return
         except (DiskError, StoppedError):
-            if machine.journal.failed:  # the process must not go on as if its records were durable
+            if machine.journal.failure:  # the process must not go on as if its records were durable
                 self.on_crash(machine)
                 return
             machine.committing = True
@@ -160,14 +160,14 @@
     def take_snapshot(self, machine: Any) -> None:
         """Replace the journal's records by a snapshot, if all of them are durable: the snapshot must not hold
         state of records that are not."""
-        if machine.journal.durable != machine.journal.next_number - 1:
+        if machine.journal.durable_number != machine.journal.next_number - 1:
             return
         try:
             machine.journal.snapshot(self.snapshot_state(machine))
         except CrashError:
             self.on_crash(machine)
         except DiskError:
-            if machine.journal is not None and machine.journal.failed:
+            if machine.journal is not None and machine.journal.failure:
                 self.on_crash(machine)
 
 
--- a/tests/store/test_journal.py
+++ b/tests/store/test_journal.py
@@ -95,7 +95,7 @@
         journal.append(["row", 3])
     with pytest.raises(StoppedError):
         journal.commit()
-    assert journal.durable == 2
+    assert journal.durable_number == 2
 
 
 def test_a_full_disk_keeps_the_records_for_later() -> None:
@@ -105,7 +105,7 @@
     journal.append(["row", 2])
     with pytest.raises(DiskError) as refused:
         journal.commit()
-    assert refused.value.full and journal.durable == 2
+    assert refused.value.full and journal.durable_number == 2
     files.room = 1 << 20
     assert journal.commit() == 3
     journal.close()
@@ -145,7 +145,7 @@
                     number += 1
                 elif step == "full":
                     files.fail["append"] = "full"
-                elif step == "snapshot" and journal.durable == journal.next_number - 1:
+                elif step == "snapshot" and journal.durable_number == journal.next_number - 1:
                     with contextlib.suppress(DiskError):
                         journal.snapshot(list(range(number)))
                 elif step == "commit":
