--- a/ponddoor/raft/simulation.py
+++ b/ponddoor/raft/simulation.py
@@ -172,8 +172,8 @@
         self.faults_enabled = False
         self.cut.clear()
         for node in self.nodes:
-            node.files.crash_in = -1
-            node.files.fail.clear()
+            node.files.operations_until_crash = -1
+            node.files.pending_faults.clear()
             node.paused_until = 0
             if node.raft is None and node.starts:
                 self._start(node)
@@ -254,7 +254,7 @@
         if node.raft is None or not self.faults_enabled:
             return
         if self.rng.random() < 0.5:
-            node.files.crash_in = self.rng.randint(0, 6)
+            node.files.operations_until_crash = self.rng.randint(0, 6)
         else:
             self.on_crash(node)
 
--- a/ponddoor/seats/simulation.py
+++ b/ponddoor/seats/simulation.py
@@ -144,8 +144,8 @@
         self.faults_enabled = False
         self.cut.clear()
         for node in self.nodes:
-            node.files.crash_in = -1
-            node.files.fail.clear()
+            node.files.operations_until_crash = -1
+            node.files.pending_faults.clear()
             if node.core is None:
                 self._start(node)
         quiet = 3 * plan.timing.lease
@@ -227,7 +227,9 @@
         if node.core is None or not self.faults_enabled:
             return
         if self.rng.random() < 0.5:
-            node.files.crash_in = self.rng.randint(0, 6)  # in the middle of one of its next disk operations
+            node.files.operations_until_crash = self.rng.randint(
+                0, 6
+            )  # in the middle of one of its next disk operations
         else:
             self.on_crash(node)
 
--- a/ponddoor/store/faulty.py
+++ b/ponddoor/store/faulty.py
@@ -1,8 +1,8 @@
 """A disk in memory that fails as real ones do, from a seed: for tests and the simulation.
 
-What was never synced may be lost at a crash, in whole or in pages, in any order; a rename that was not
-followed by `sync_names` may be undone. `fail` makes the next operations fail; `crash_in` crashes at the n-th
-operation from now, in the middle of it."""
+At a crash, data that was not synced may be lost, in whole or by pages, in any order; a rename that was not
+followed by `sync_names` may be undone. `pending_faults` makes the next call of each named operation fail.
+`operations_until_crash` counts down with each operation; at 0 the next one crashes while it runs."""
 
 from dataclasses import dataclass, field
 from random import Random
@@ -29,19 +29,19 @@
     rng: Random
     files: dict[str, _File] = field(default_factory=dict)
     durable_names: dict[str, _File] = field(default_factory=dict)
-    fail: dict[str, str] = field(default_factory=dict)  # operation: "full" or "error", once
-    crash_in: int = -1
-    room: int = 1 << 30
+    pending_faults: dict[str, str] = field(default_factory=dict)  # operation: "full" or "error", once
+    operations_until_crash: int = -1
+    capacity_bytes: int = 1 << 30
     locked: bool = False
     operations: int = 0
 
     def _step(self, what: str) -> None:
         self.operations += 1
-        if self.crash_in >= 0:
-            self.crash_in -= 1
-            if self.crash_in < 0:
+        if self.operations_until_crash >= 0:
+            self.operations_until_crash -= 1
+            if self.operations_until_crash < 0:
                 raise CrashError(what)
-        how = self.fail.pop(what, "")
+        how = self.pending_faults.pop(what, "")
         if how:
             raise DiskError(f"{what} failed", full=how == "full")
 
@@ -58,7 +58,7 @@
         used = sum(len(file.data) for file in self.files.values())
         try:
             self._step("append")
-            if used + len(data) > self.room:
+            if used + len(data) > self.capacity_bytes:
                 raise DiskError("no room", full=True)
         except (CrashError, DiskError):
             held.data += data[: self.rng.randint(0, len(data))]  # cut at any byte
@@ -112,5 +112,5 @@
             file.data, file.durable = after, bytes(after)
         self.files = kept
         self.durable_names = dict(kept)
-        self.crash_in, self.locked = -1, False
-        self.fail.clear()
+        self.operations_until_crash, self.locked = -1, False
+        self.pending_faults.clear()
--- a/ponddoor/world.py
+++ b/ponddoor/world.py
@@ -140,7 +140,9 @@
             return
         machine.committing = False
         if self.faults_enabled and self.rng.random() < self.disk_errors:
-            machine.files.fail[self.rng.choice(["append", "sync"])] = self.rng.choice(["full", "error"])
+            machine.files.pending_faults[self.rng.choice(["append", "sync"])] = self.rng.choice(
+                ["full", "error"]
+            )
         try:
             durable = machine.journal.commit()
         except CrashError:
--- a/tests/store/test_journal.py
+++ b/tests/store/test_journal.py
@@ -88,7 +88,7 @@
     files = FaultyFiles(Random(1))
     journal = filled(files, 2)
     journal.append(["row", 2])
-    files.fail["sync"] = "error"
+    files.pending_faults["sync"] = "error"
     with pytest.raises(DiskError):
         journal.commit()
     with pytest.raises(StoppedError):
@@ -101,12 +101,12 @@
 def test_a_full_disk_keeps_the_records_for_later() -> None:
     files = FaultyFiles(Random(1))
     journal = filled(files, 2)
-    files.room = sum(len(file.data) for file in files.files.values()) + 10
+    files.capacity_bytes = sum(len(file.data) for file in files.files.values()) + 10
     journal.append(["row", 2])
     with pytest.raises(DiskError) as refused:
         journal.commit()
     assert refused.value.full and journal.durable_number == 2
-    files.room = 1 << 20
+    files.capacity_bytes = 1 << 20
     assert journal.commit() == 3
     journal.close()
     assert rows(files) == [0, 1, 2]
@@ -137,14 +137,14 @@
         held = journal.open()
         got = [*(held.state or []), *(record[1] for record in held.records)]
         assert got == list(range(len(got))) and durable <= len(got) <= number, (life, got, durable, number)
-        number, files.crash_in = len(got), crash_in if life < 2 else -1
+        number, files.operations_until_crash = len(got), crash_in if life < 2 else -1
         try:
             for step in steps:
                 if step == "append":
                     journal.append(["row", number])
                     number += 1
                 elif step == "full":
-                    files.fail["append"] = "full"
+                    files.pending_faults["append"] = "full"
                 elif step == "snapshot" and journal.durable_number == journal.next_number - 1:
                     with contextlib.suppress(DiskError):
                         journal.snapshot(list(range(number)))
