--- a/ponddoor/seats/simulation.py
+++ b/ponddoor/seats/simulation.py
@@ -227,9 +227,8 @@
         if node.core is None or not self.faults_enabled:
             return
         if self.rng.random() < 0.5:
-            node.files.operations_until_crash = self.rng.randint(
-                0, 6
-            )  # in the middle of one of its next disk operations
+            # Crashes in the middle of one of its next disk operations
+            node.files.operations_until_crash = self.rng.randint(0, 6)
         else:
             self.on_crash(node)
 
--- a/ponddoor/store/__init__.py
+++ b/ponddoor/store/__init__.py
@@ -1,2 +1,1 @@
-"""Storage that survives crashes: a journal of checksummed records, and snapshots, over an interface to
-files."""
+"""Crash-safe storage: a journal of checksummed records with snapshots, on files that may be simulated."""
--- a/ponddoor/store/faulty.py
+++ b/ponddoor/store/faulty.py
@@ -1,4 +1,4 @@
-"""A disk in memory that fails as real ones do, from a seed: for tests and the simulation.
+"""An in-memory disk that fails as real ones do, driven by a seeded generator: for tests and simulations.
 
 At a crash, data that was not synced may be lost, in whole or by pages, in any order; a rename that was not
 followed by `sync_names` may be undone. `pending_faults` makes the next call of each named operation fail.
@@ -9,108 +9,115 @@
 
 from ponddoor.store.files import DiskError, LockedError
 
-PAGE = 64
+PAGE_BYTES = 64
 
 
 class CrashError(Exception):
-    """The machine stops here."""
+    """The simulated machine crashed during a disk operation; the caller then calls `FaultyFiles.crash`."""
 
 
 @dataclass(slots=True)
 class _File:
     data: bytearray = field(default_factory=bytearray)
-    durable: bytes = b""
+    durable_data: bytes = b""
 
 
 @dataclass(slots=True)
 class FaultyFiles:
-    """One folder on a disk that fails."""
+    """One directory on a simulated disk.
+
+    `operations_until_crash` is -1 while no crash is due. `operations` counts the operations that can fail."""
 
     rng: Random
     files: dict[str, _File] = field(default_factory=dict)
     durable_names: dict[str, _File] = field(default_factory=dict)
-    pending_faults: dict[str, str] = field(default_factory=dict)  # operation: "full" or "error", once
+    pending_faults: dict[str, str] = field(default_factory=dict)  # by operation: "full" or "error"
     operations_until_crash: int = -1
     capacity_bytes: int = 1 << 30
     locked: bool = False
     operations: int = 0
 
-    def _step(self, what: str) -> None:
+    def _begin_operation(self, operation: str) -> None:
+        """Counts an operation. Raises CrashError if the crash is due, DiskError if a fault is pending."""
         self.operations += 1
         if self.operations_until_crash >= 0:
             self.operations_until_crash -= 1
             if self.operations_until_crash < 0:
-                raise CrashError(what)
-        how = self.pending_faults.pop(what, "")
-        if how:
-            raise DiskError(f"{what} failed", full=how == "full")
+                raise CrashError(operation)
+        fault = self.pending_faults.pop(operation, "")
+        if fault:
+            raise DiskError(f"injected fault: {operation} failed ({fault})", full=fault == "full")
 
     def names(self) -> list[str]:
         return sorted(self.files)
 
     def read(self, name: str) -> bytes:
         if name not in self.files:
-            raise DiskError(f"no file {name}")
+            raise DiskError(f"{name} does not exist on the simulated disk")
         return bytes(self.files[name].data)
 
     def append(self, name: str, data: bytes) -> None:
-        held = self.files.setdefault(name, _File())
+        target = self.files.setdefault(name, _File())
         used = sum(len(file.data) for file in self.files.values())
         try:
-            self._step("append")
+            self._begin_operation("append")
             if used + len(data) > self.capacity_bytes:
-                raise DiskError("no room", full=True)
+                raise DiskError(
+                    f"simulated disk full: {used} + {len(data)} of {self.capacity_bytes} bytes", full=True
+                )
         except (CrashError, DiskError):
-            held.data += data[: self.rng.randint(0, len(data))]  # cut at any byte
+            target.data += data[: self.rng.randint(0, len(data))]  # a partial write, cut at any byte
             raise
-        held.data += data
+        target.data += data
 
     def truncate(self, name: str, size: int) -> None:
-        self._step("truncate")
-        held = self.files.setdefault(name, _File())
-        del held.data[size:]
+        self._begin_operation("truncate")
+        target = self.files.setdefault(name, _File())
+        del target.data[size:]
 
     def sync(self, name: str) -> None:
-        self._step("sync")
-        held = self.files.setdefault(name, _File())
-        held.durable = bytes(held.data)
+        self._begin_operation("sync")
+        target = self.files.setdefault(name, _File())
+        target.durable_data = bytes(target.data)
 
     def sync_names(self) -> None:
-        self._step("sync_names")
+        self._begin_operation("sync_names")
         self.durable_names = dict(self.files)
 
     def rename(self, old: str, new: str) -> None:
-        self._step("rename")
+        self._begin_operation("rename")
         self.files[new] = self.files.pop(old)
 
     def remove(self, name: str) -> None:
-        self._step("remove")
+        self._begin_operation("remove")
         self.files.pop(name, None)
 
     def lock(self) -> None:
         if self.locked:
-            raise LockedError("in use")
+            raise LockedError("the simulated disk is locked by another process")
         self.locked = True
 
     def close(self) -> None:
         self.locked = False
 
     def crash(self) -> None:
-        """The machine stops: unsynced pages and names survive or not, each by chance."""
-        names = self.files if self.rng.random() < 0.5 else self.durable_names
-        kept = dict(names)
-        for file in {id(file): file for file in (*self.files.values(), *kept.values())}.values():
-            after = bytearray(file.durable)
-            for at in range(0, len(file.data), PAGE):
+        """Reduces the disk to what survives a crash: name changes that were not synced survive all or not at
+        all, pages of data that were not synced each by chance. Clears the lock and all pending faults."""
+        surviving_files = self.files if self.rng.random() < 0.5 else self.durable_names
+        survivors = dict(surviving_files)
+        for file in {id(file): file for file in (*self.files.values(), *survivors.values())}.values():
+            data = bytearray(file.durable_data)
+            for offset in range(0, len(file.data), PAGE_BYTES):
                 if (
-                    bytes(file.data[at : at + PAGE]) != file.durable[at : at + PAGE]
+                    bytes(file.data[offset : offset + PAGE_BYTES])
+                    != file.durable_data[offset : offset + PAGE_BYTES]
                     and self.rng.random() < 0.5
                 ):
-                    if len(after) < at:
-                        after += bytes(at - len(after))
-                    after[at : at + PAGE] = file.data[at : at + PAGE]
-            file.data, file.durable = after, bytes(after)
-        self.files = kept
-        self.durable_names = dict(kept)
+                    if len(data) < offset:
+                        data += bytes(offset - len(data))
+                    data[offset : offset + PAGE_BYTES] = file.data[offset : offset + PAGE_BYTES]
+            file.data, file.durable_data = data, bytes(data)
+        self.files = survivors
+        self.durable_names = dict(survivors)
         self.operations_until_crash, self.locked = -1, False
         self.pending_faults.clear()
--- a/ponddoor/store/files.py
+++ b/ponddoor/store/files.py
@@ -1,4 +1,6 @@
-"""The little that the store asks of a disk, and the real one. `ponddoor.store.faulty` is one that fails."""
+"""The file operations that the journal needs, and their implementation on a real file system.
+
+`ponddoor.store.faulty` implements them in memory, with injected faults."""
 
 import errno
 import fcntl
@@ -8,20 +10,24 @@
 
 
 class DiskError(Exception):
-    """The disk refused; `full` says that there was no room, and that nothing else is wrong."""
+    """A file operation failed. `full` is set if the only cause is a full disk or an exhausted quota, so that
+    the operation may be tried again."""
 
-    def __init__(self, why: str, full: bool = False) -> None:
-        super().__init__(why)
+    def __init__(self, reason: str, full: bool = False) -> None:
+        super().__init__(reason)
         self.full = full
 
 
 class LockedError(Exception):
-    """Another process has this store open."""
+    """Another process has these files open."""
 
 
 class Files(Protocol):
-    """Files of one folder, by name. All raise DiskError. Nothing is durable before `sync`, a name not before
-    `sync_names`."""
+    """The files of one directory, addressed by name. Operations raise DiskError.
+
+    Appended or truncated data is durable only after `sync`; a created, renamed or removed name only after
+    `sync_names`. `append`, `truncate` and `sync` create a file that does not exist. `lock` raises
+    LockedError; `close` releases the lock."""
 
     def names(self) -> list[str]: ...
     def read(self, name: str) -> bytes: ...
@@ -36,93 +42,98 @@
 
 
 class Disk:
-    """A folder on a real disk."""
+    """The files of a directory of the operating system, which is created if it does not exist."""
 
-    def __init__(self, folder: Path) -> None:
-        self._folder = folder
-        self._open: dict[str, int] = {}
-        self._lock: int | None = None
-        folder.mkdir(parents=True, exist_ok=True)
+    def __init__(self, directory: Path) -> None:
+        self._directory = directory
+        self._descriptors: dict[str, int] = {}
+        self._lock_descriptor: int | None = None
+        directory.mkdir(parents=True, exist_ok=True)
 
     def names(self) -> list[str]:
-        return sorted(path.name for path in self._folder.iterdir() if path.name != "lock")
+        return sorted(path.name for path in self._directory.iterdir() if path.name != "lock")
 
     def read(self, name: str) -> bytes:
         try:
-            return (self._folder / name).read_bytes()
-        except OSError as problem:
-            raise _refused(problem) from None
+            return (self._directory / name).read_bytes()
+        except OSError as error:
+            raise _disk_error(error) from None
 
     def append(self, name: str, data: bytes) -> None:
         try:
-            handle, view = self._handle(name), memoryview(data)
-            while view:
-                view = view[os.write(handle, view) :]
-        except OSError as problem:
-            raise _refused(problem) from None
+            descriptor, remaining = self._descriptor(name), memoryview(data)
+            while remaining:
+                remaining = remaining[os.write(descriptor, remaining) :]
+        except OSError as error:
+            raise _disk_error(error) from None
 
     def truncate(self, name: str, size: int) -> None:
         try:
-            os.ftruncate(self._handle(name), size)
-        except OSError as problem:
-            raise _refused(problem) from None
+            os.ftruncate(self._descriptor(name), size)
+        except OSError as error:
+            raise _disk_error(error) from None
 
     def sync(self, name: str) -> None:
         try:
-            os.fsync(self._handle(name))
-        except OSError as problem:
-            raise _refused(problem) from None
+            os.fsync(self._descriptor(name))
+        except OSError as error:
+            raise _disk_error(error) from None
 
     def sync_names(self) -> None:
-        handle = os.open(self._folder, os.O_RDONLY)
+        descriptor = os.open(self._directory, os.O_RDONLY)
         try:
-            os.fsync(handle)
-        except OSError as problem:
-            raise _refused(problem) from None
+            os.fsync(descriptor)
+        except OSError as error:
+            raise _disk_error(error) from None
         finally:
-            os.close(handle)
+            os.close(descriptor)
 
     def rename(self, old: str, new: str) -> None:
-        self._shut(old)
+        self._close_file(old)
         try:
-            os.replace(self._folder / old, self._folder / new)
-        except OSError as problem:
-            raise _refused(problem) from None
+            os.replace(self._directory / old, self._directory / new)
+        except OSError as error:
+            raise _disk_error(error) from None
 
     def remove(self, name: str) -> None:
-        self._shut(name)
+        self._close_file(name)
         try:
-            (self._folder / name).unlink(missing_ok=True)
-        except OSError as problem:
-            raise _refused(problem) from None
+            (self._directory / name).unlink(missing_ok=True)
+        except OSError as error:
+            raise _disk_error(error) from None
 
     def lock(self) -> None:
-        """Guards against two processes on one store. Raises LockedError."""
-        self._lock = os.open(self._folder / "lock", os.O_RDWR | os.O_CREAT, 0o600)
+        """Takes an exclusive lock on the directory until `close`, so that only one process writes to it.
+
+        Raises LockedError if another process holds it."""
+        self._lock_descriptor = os.open(self._directory / "lock", os.O_RDWR | os.O_CREAT, 0o600)
         try:
-            fcntl.flock(self._lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
+            fcntl.flock(self._lock_descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except OSError:
-            os.close(self._lock)
-            self._lock = None
-            raise LockedError(f"{self._folder} is in use by another process") from None
+            os.close(self._lock_descriptor)
+            self._lock_descriptor = None
+            raise LockedError(f"{self._directory} is locked by another process") from None
 
     def close(self) -> None:
-        for name in list(self._open):
-            self._shut(name)
-        if self._lock is not None:
-            os.close(self._lock)
-            self._lock = None
-
-    def _handle(self, name: str) -> int:
-        if name not in self._open:
-            self._open[name] = os.open(self._folder / name, os.O_RDWR | os.O_CREAT | os.O_APPEND, 0o600)
-        return self._open[name]
-
-    def _shut(self, name: str) -> None:
-        handle = self._open.pop(name, None)
-        if handle is not None:
-            os.close(handle)
-
-
-def _refused(problem: OSError) -> DiskError:
-    return DiskError(problem.strerror or str(problem), problem.errno in (errno.ENOSPC, errno.EDQUOT))
+        for name in list(self._descriptors):
+            self._close_file(name)
+        if self._lock_descriptor is not None:
+            os.close(self._lock_descriptor)
+            self._lock_descriptor = None
+
+    def _descriptor(self, name: str) -> int:
+        """The open descriptor of a file, for reading and appending; opens or creates the file if needed."""
+        if name not in self._descriptors:
+            self._descriptors[name] = os.open(
+                self._directory / name, os.O_RDWR | os.O_CREAT | os.O_APPEND, 0o600
+            )
+        return self._descriptors[name]
+
+    def _close_file(self, name: str) -> None:
+        descriptor = self._descriptors.pop(name, None)
+        if descriptor is not None:
+            os.close(descriptor)
+
+
+def _disk_error(error: OSError) -> DiskError:
+    return DiskError(error.strerror or str(error), error.errno in (errno.ENOSPC, errno.EDQUOT))
