--- a/ponddoor/store/committer.py
+++ b/ponddoor/store/committer.py
@@ -48,9 +48,9 @@
         while self._commit_requested:
             self._commit_requested = False
             try:
-                batch = self._journal.take()
-                written = await asyncio.to_thread(self._journal.write, batch)
-                self._on_durable(self._journal.settle(written))
+                batch = self._journal.take_batch()
+                written = await asyncio.to_thread(self._journal.write_batch, batch)
+                self._on_durable(self._journal.mark_durable(written))
             except DiskError as error:
                 if not error.full or self._journal.failure:
                     self._on_failure(str(error))
--- a/ponddoor/store/journal.py
+++ b/ponddoor/store/journal.py
@@ -1,15 +1,17 @@
-"""An append-only journal of records with snapshots, over `Files`. No clock, no threads: the caller says when
-to commit, and may do so elsewhere for many records at once (ponddoor.store.committer).
+"""An append-only journal of records with snapshots, over `Files`.
 
-A record's frame: 4 bytes of magic, then big-endian length of the body (u32), number (u64), the newest number
-known to be durable when it was written (u64), version (u8), xxh64 over all of that and the body (8 bytes),
-the body (msgpack). Numbers rise by one. Segments are named after their first record, snapshots after the last
-record they hold.
+It uses no clock and no threads. The caller decides when to commit, and can commit many records at once in
+another thread (see ponddoor.store.committer).
 
-Recovery takes the newest whole snapshot and the records after it. The first record that can't be read ends
-it: what follows is dropped and told, if it can be what a crash left. A later record that was written when the
-broken one was known to be durable proves damage, and then the store refuses to open. Damage at the very end
-can't be told from a torn write."""
+The frame of a record, in order, integers big-endian: magic (4 bytes), length of the body (u32), record number
+(u64), number of the last record known to be durable when this one was appended (u64), format version (u8),
+xxh64 of all these fields and the body (8 bytes), body (MessagePack). Record numbers rise by one. A segment is
+named after its first record, a snapshot after the last record that it covers.
+
+Recovery reads the newest snapshot and the records after it, up to the first that can't be read. The rest is
+dropped and reported if a crash can have left it. If any record in the files says that the unreadable one was
+durable, the data is damaged and the journal refuses to open. Damage at the very end can't be told from a torn
+write."""
 
 import struct
 from dataclasses import dataclass, field
@@ -20,24 +22,30 @@
 
 from ponddoor.store.files import DiskError, Files
 
-VERSION = 1
+FORMAT_VERSION = 1
 MAGIC = b"pJr\x01"
-_HEAD = struct.Struct(">4sIQQB")
-_SUM = 8
-MOST_BODY = 16_000_000
+_HEADER = struct.Struct(">4sIQQB")
+_CHECKSUM_BYTES = 8
+MAX_BODY_BYTES = 16_000_000  # a frame that claims a longer body is taken for corrupt
 
 
 class DamagedError(Exception):
-    """What was durable can't be read. Nothing is opened, nothing is changed."""
+    """A durable record or a snapshot can't be read.
+
+    The journal stays closed; segments and snapshots are left as they are."""
 
 
 class StoppedError(Exception):
-    """The store failed before and takes nothing more: what it last took may or may not be durable."""
+    """The journal failed before and accepts no more records.
+
+    Records appended since the last successful commit may or may not be durable."""
 
 
 @dataclass(frozen=True, slots=True)
 class Recovered:
-    """What a store held. `dropped` says what a crash left behind, in words."""
+    """The contents of a journal: the state of its snapshot (None without one) and the records after it.
+
+    `dropped` describes, for the log, each unfinished write of a crash that recovery dropped."""
 
     state: Any
     records: list[Any]
@@ -46,27 +54,32 @@
 
 @dataclass(frozen=True, slots=True)
 class Batch:
-    """Frames that are written together, and the number of the last."""
+    """Frames that are written and synced together, and the number of the last record."""
 
     frames: list[bytes]
-    upto: int
+    last_number: int
 
 
 @dataclass(slots=True)
 class Journal:
-    """One store. `open` first; then `append`, `commit`, `snapshot`."""
+    """One journal. Call `open` first, then `append`, `commit` and `snapshot`.
+
+    `durable_number` is the number of the last durable record. `failure` is the error that stopped the
+    journal, empty while it works. A segment that has reached `segment_bytes` is followed by a new one."""
 
     files: Files
     segment_bytes: int = 4_000_000
     next_number: int = 1
     durable_number: int = 0
     failure: str = ""
-    _segment: str = ""
-    _size: int = 0
+    _segment_name: str = ""  # empty if the next batch starts a new segment
+    _segment_size_bytes: int = 0
     _pending: list[bytes] = field(default_factory=list)
 
     def open(self) -> Recovered:
-        """Lock, read, and be ready to append. Raises LockedError, DamagedError or DiskError."""
+        """Locks the files, recovers their contents and prepares for appending.
+
+        Raises LockedError, DamagedError or DiskError; the lock is not held then."""
         self.files.lock()
         try:
             return self._recover()
@@ -75,54 +88,63 @@
             raise
 
     def _recover(self) -> Recovered:
+        """Reads the newest snapshot and the records after it, and removes what a crash left unfinished."""
         names, dropped = self.files.names(), list[str]()
         for name in [name for name in names if name.endswith(".new")]:
-            dropped.append(f"{name}: a snapshot that was not finished")
+            dropped.append(f"{name}: unfinished snapshot removed")
             self.files.remove(name)
         snapshots = sorted((name for name in names if name.endswith(".snap")), reverse=True)
-        state, upto = None, 0
+        state, snapshot_number = None, 0
         for name in snapshots:
-            whole = _frames(self.files.read(name))[0]
-            if not whole:
-                raise DamagedError(f"{name}: a finished snapshot that can't be read")
-            state, upto = whole[0][3], int(name.removesuffix(".snap").split("-")[1])
+            snapshot_frames = _decode_frames(self.files.read(name))[0]
+            if not snapshot_frames:
+                raise DamagedError(f"{name}: the newest snapshot can't be read; journal not opened")
+            state, snapshot_number = snapshot_frames[0][3], int(name.removesuffix(".snap").split("-")[1])
             break
         segments = sorted(name for name in names if name.endswith(".log"))
         records: list[Any] = []
-        number, broken_at, newest = upto + 1, "", 0
-        for at, name in enumerate(segments):
+        next_number, break_location, newest_durable = snapshot_number + 1, "", 0
+        for index, name in enumerate(segments):
             data = self.files.read(name)
-            frames, good = _frames(data)
-            for offset, found, synced, body, _ in frames:
-                newest = max(newest, synced)
-                if broken_at or offset > good:
+            frames, intact_end = _decode_frames(data)
+            for offset, number, known_durable, body, _ in frames:
+                newest_durable = max(newest_durable, known_durable)
+                if break_location or offset > intact_end:
                     continue
-                if found > number:
-                    broken_at = broken_at or f"{name} at byte {offset}: record {number} is missing"
-                elif found == number:
+                if number > next_number:
+                    break_location = (
+                        break_location or f"{name}, byte {offset}: record {next_number} is missing"
+                    )
+                elif number == next_number:
                     records.append(body)
-                    number += 1
-            if not broken_at and good < len(data):
-                broken_at = f"{name} at byte {good}: a record that is not whole"
-            if broken_at and at == len(segments) - 1 and newest < number:
-                dropped.append(f"{broken_at}; {len(data) - good} bytes behind it")
-        if broken_at and newest >= number:
-            raise DamagedError(f"{broken_at}, but records up to {newest} were durable")
-        if broken_at and not dropped:
-            dropped.append(broken_at)
-        self.next_number, self.durable_number = number, number - 1
-        if broken_at or dropped:
-            self._cut_off(segments, number)
-        self._segment, self._size = "", 0
+                    next_number += 1
+            if not break_location and intact_end < len(data):
+                break_location = f"{name}, byte {intact_end}: incomplete or corrupt record"
+            if break_location and index == len(segments) - 1 and newest_durable < next_number:
+                dropped.append(
+                    f"{break_location}; {len(data) - intact_end} bytes follow the intact part of {name}"
+                )
+        if break_location and newest_durable >= next_number:
+            raise DamagedError(
+                f"{break_location}, but records up to {newest_durable} were durable; journal not opened"
+            )
+        if break_location and not dropped:
+            dropped.append(break_location)
+        self.next_number, self.durable_number = next_number, next_number - 1
+        if break_location or dropped:
+            self._truncate_segments(segments, next_number)
+        self._segment_name, self._segment_size_bytes = "", 0
         return Recovered(state, records, dropped)
 
-    def _cut_off(self, segments: list[str], number: int) -> None:
-        """What a crash left behind is taken away, so that it can't follow what comes now."""
+    def _truncate_segments(self, segments: list[str], next_number: int) -> None:
+        """Cuts each segment after its intact records below `next_number`.
+
+        What a crash left behind would otherwise be read together with records that are appended later."""
         for name in segments:
             data, size = self.files.read(name), 0
-            frames = _frames(data)[0]
-            for offset, found, _, _, end in frames:
-                if found < number and offset == size:
+            frames = _decode_frames(data)[0]
+            for offset, number, _, _, end in frames:
+                if number < next_number and offset == size:
                     size = end
             if size < len(data):
                 self.files.truncate(name, size)
@@ -130,93 +152,103 @@
         self.files.sync_names()
 
     def append(self, record: Any) -> int:
-        """Take a record in; returns its number. It is durable when `durable_number` has reached that."""
+        """Queues a record for the next commit; returns its number. Raises StoppedError.
+
+        The record is durable once `durable_number` has reached its number."""
         if self.failure:
             raise StoppedError(self.failure)
         number = self.next_number
         self.next_number += 1
-        self._pending.append(_frame(number, self.durable_number, record))
+        self._pending.append(_encode_frame(number, self.durable_number, record))
         return number
 
     def commit(self) -> int:
-        """Make all that was appended durable; returns the newest durable number.
+        """Makes all appended records durable; returns the number of the last durable record.
 
-        Raises DiskError with `full` where there was no room: the records are kept for the next try. After any
-        other DiskError the store has failed: a sync that failed may have lost what was written, and must not
-        be tried again as if it had not."""
-        return self.settle(self.write(self.take()))
+        Raises DiskError. If it has `full` set and `failure` is still empty, the records stay queued for the
+        next commit. Otherwise the journal has failed and raises StoppedError from then on: a failed sync may
+        have lost written data, so a later sync that succeeds would not make that data durable."""
+        return self.mark_durable(self.write_batch(self.take_batch()))
 
-    def take(self) -> "Batch":
-        """The first of commit's three parts: what there is to write."""
+    def take_batch(self) -> "Batch":
+        """The first step of a commit: takes the queued records. Raises StoppedError."""
         if self.failure:
             raise StoppedError(self.failure)
-        taken, self._pending = self._pending, []
-        return Batch(taken, self.next_number - 1)
+        frames, self._pending = self._pending, []
+        return Batch(frames, self.next_number - 1)
 
-    def write(self, batch: "Batch") -> "Batch":
-        """The second, which may run in another thread while records are appended: write and sync."""
+    def write_batch(self, batch: "Batch") -> "Batch":
+        """The second step: writes and syncs the batch. Raises DiskError as `commit` does.
+
+        It may run in another thread while records are appended."""
         if not batch.frames:
             return batch
-        fresh = not self._segment
-        if fresh:
-            self._segment, self._size = f"journal-{self.durable_number + 1:020d}.log", 0
+        new_segment = not self._segment_name
+        if new_segment:
+            self._segment_name, self._segment_size_bytes = f"journal-{self.durable_number + 1:020d}.log", 0
         data = b"".join(batch.frames)
         try:
-            self.files.append(self._segment, data)
-        except DiskError as problem:
-            self._undo(problem)
+            self.files.append(self._segment_name, data)
+        except DiskError as error:
+            self._undo_append(error)
             self._pending = batch.frames + self._pending
             raise
         try:
-            self.files.sync(self._segment)
-            if fresh:
+            self.files.sync(self._segment_name)
+            if new_segment:
                 self.files.sync_names()
-        except DiskError as problem:
-            self.failure = f"sync failed: {problem}"
+        except DiskError as error:
+            self.failure = f"sync of {self._segment_name} failed: {error}"
             raise
-        self._size += len(data)
-        if self._size >= self.segment_bytes:
-            self._segment = ""
+        self._segment_size_bytes += len(data)
+        if self._segment_size_bytes >= self.segment_bytes:
+            self._segment_name = ""
         return batch
 
-    def settle(self, batch: "Batch") -> int:
-        """The third: what was written is durable."""
-        self.durable_number = max(self.durable_number, batch.upto) if batch.frames else self.durable_number
+    def mark_durable(self, batch: "Batch") -> int:
+        """The third step: advances `durable_number` past a batch that was written; returns it."""
+        self.durable_number = (
+            max(self.durable_number, batch.last_number) if batch.frames else self.durable_number
+        )
         return self.durable_number
 
-    def _undo(self, problem: DiskError) -> None:
-        """A write that was cut is taken back; where that fails too, the store has failed."""
-        if problem.full:
+    def _undo_append(self, error: DiskError) -> None:
+        """Removes the partial data of a write that failed on a full disk. After any other error, or if that
+        removal fails, the journal has failed."""
+        if error.full:
             try:
-                self.files.truncate(self._segment, self._size)
-                self._segment = "" if self._size == 0 else self._segment
+                self.files.truncate(self._segment_name, self._segment_size_bytes)
+                self._segment_name = "" if self._segment_size_bytes == 0 else self._segment_name
                 return
-            except DiskError as again:
-                problem = again
-        self.failure = f"write failed: {problem}"
+            except DiskError as truncate_error:
+                error = truncate_error
+        self.failure = f"write to {self._segment_name} failed: {error}"
 
     def snapshot(self, state: Any) -> None:
-        """Keep a state that holds all committed records, and forget those. It is written beside, synced and
-        renamed in; only then are old files removed."""
+        """Replaces the durable records by a snapshot; `state` must reflect exactly these records.
+
+        The snapshot is written under a temporary name, synced and renamed; only then are older files removed.
+        No batch may be in the middle of its write, as its segment may be removed. Raises StoppedError or
+        DiskError. An error of the snapshot's own write, unless the disk is full, makes the journal fail."""
         if self.failure:
             raise StoppedError(self.failure)
-        upto = self.durable_number
-        name, beside = f"state-{upto:020d}.snap", f"state-{upto:020d}.new"
+        last_number = self.durable_number
+        name, temporary_name = f"state-{last_number:020d}.snap", f"state-{last_number:020d}.new"
         try:
-            self.files.remove(beside)
-            self.files.append(beside, _frame(upto, upto, state))
-            self.files.sync(beside)
-            self.files.rename(beside, name)
+            self.files.remove(temporary_name)
+            self.files.append(temporary_name, _encode_frame(last_number, last_number, state))
+            self.files.sync(temporary_name)
+            self.files.rename(temporary_name, name)
             self.files.sync_names()
-        except DiskError as problem:
-            if not problem.full:
-                self.failure = f"snapshot failed: {problem}"
+        except DiskError as error:
+            if not error.full:
+                self.failure = f"writing snapshot {name} failed: {error}"
             raise
-        self._segment = ""
+        self._segment_name = ""
         for old in self.files.names():
             kind, _, number = old.partition("-")
             if (kind == "state" and old.endswith(".snap") and old < name) or (
-                kind == "journal" and int(number.removesuffix(".log")) <= upto
+                kind == "journal" and int(number.removesuffix(".log")) <= last_number
             ):
                 self.files.remove(old)
         self.files.sync_names()
@@ -225,42 +257,46 @@
         self.files.close()
 
 
-def _frame(number: int, synced: int, record: Any) -> bytes:
+def _encode_frame(number: int, durable_number: int, record: Any) -> bytes:
     body = msgspec.msgpack.encode(record)
-    head = _HEAD.pack(MAGIC, len(body), number, synced, VERSION)
-    return head + xxhash.xxh64_digest(head + body) + body
-
-
-def _frames(data: bytes) -> tuple[list[tuple[int, int, int, Any, int]], int]:
-    """All whole records as (offset, number, synced, body, end), also behind broken ones; the first break."""
-    found: list[tuple[int, int, int, Any, int]] = []
-    at, good, intact = 0, 0, True
-    while at < len(data):
-        got = _one(data, at)
-        if got is not None:
-            number, synced, body, at_next = got
-            found.append((at, number, synced, body, at_next))
-            at = at_next
-            good = at if intact else good
+    header = _HEADER.pack(MAGIC, len(body), number, durable_number, FORMAT_VERSION)
+    return header + xxhash.xxh64_digest(header + body) + body
+
+
+def _decode_frames(data: bytes) -> tuple[list[tuple[int, int, int, Any, int]], int]:
+    """All intact records of a file, also those after a break, and the offset of the first break.
+
+    A record is (offset, number, last number known durable when it was appended, body, end offset)."""
+    records: list[tuple[int, int, int, Any, int]] = []
+    offset, intact_end, unbroken = 0, 0, True
+    while offset < len(data):
+        decoded = _decode_frame(data, offset)
+        if decoded is not None:
+            number, known_durable, body, end = decoded
+            records.append((offset, number, known_durable, body, end))
+            offset = end
+            intact_end = offset if unbroken else intact_end
             continue
-        intact = False
-        at = data.find(MAGIC, at + 1)
-        if at < 0:
+        unbroken = False
+        offset = data.find(MAGIC, offset + 1)
+        if offset < 0:
             break
-    return found, good
+    return records, intact_end
 
 
-def _one(data: bytes, at: int) -> tuple[int, int, Any, int] | None:
-    if len(data) - at < _HEAD.size + _SUM:
+def _decode_frame(data: bytes, offset: int) -> tuple[int, int, Any, int] | None:
+    """The record at an offset as (number, last number known durable, body, end offset); None if it is not
+    intact or of a newer format version."""
+    if len(data) - offset < _HEADER.size + _CHECKSUM_BYTES:
         return None
-    magic, length, number, synced, version = _HEAD.unpack_from(data, at)
-    begin, end = at + _HEAD.size + _SUM, at + _HEAD.size + _SUM + length
-    if magic != MAGIC or length > MOST_BODY or end > len(data) or version > VERSION:
+    magic, length, number, known_durable, version = _HEADER.unpack_from(data, offset)
+    begin, end = offset + _HEADER.size + _CHECKSUM_BYTES, offset + _HEADER.size + _CHECKSUM_BYTES + length
+    if magic != MAGIC or length > MAX_BODY_BYTES or end > len(data) or version > FORMAT_VERSION:
         return None
-    head, body = data[at : at + _HEAD.size], data[begin:end]
-    if xxhash.xxh64_digest(head + body) != data[at + _HEAD.size : begin]:
+    header, body = data[offset : offset + _HEADER.size], data[begin:end]
+    if xxhash.xxh64_digest(header + body) != data[offset + _HEADER.size : begin]:
         return None
     try:
-        return number, synced, msgspec.msgpack.decode(body), end
+        return number, known_durable, msgspec.msgpack.decode(body), end
     except msgspec.MsgspecError:
         return None
