--- a/ponddoor/store/faulty.py
+++ b/ponddoor/store/faulty.py
@@ -102,10 +102,10 @@
 
     def crash(self) -> None:
         """Reduces the disk to what survives a crash: name changes that were not synced survive all or not at
-        all, pages of data that were not synced each by chance. Clears the lock and all pending faults."""
-        surviving_files = self.files if self.rng.random() < 0.5 else self.durable_names
-        survivors = dict(surviving_files)
-        for file in {id(file): file for file in (*self.files.values(), *survivors.values())}.values():
+        all, and each page of data that was not synced by chance. Clears the lock and all pending faults."""
+        directory = self.files if self.rng.random() < 0.5 else self.durable_names
+        surviving_files = dict(directory)
+        for file in {id(file): file for file in (*self.files.values(), *surviving_files.values())}.values():
             data = bytearray(file.durable_data)
             for offset in range(0, len(file.data), PAGE_BYTES):
                 if (
@@ -117,7 +117,7 @@
                         data += bytes(offset - len(data))
                     data[offset : offset + PAGE_BYTES] = file.data[offset : offset + PAGE_BYTES]
             file.data, file.durable_data = data, bytes(data)
-        self.files = survivors
-        self.durable_names = dict(survivors)
+        self.files = surviving_files
+        self.durable_names = dict(surviving_files)
         self.operations_until_crash, self.locked = -1, False
         self.pending_faults.clear()
--- a/ponddoor/store/journal.py
+++ b/ponddoor/store/journal.py
@@ -42,7 +42,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Recovered:
+class Recovery:
     """The contents of a journal: the state of its snapshot (None without one) and the records after it.
 
     `dropped` describes, for the log, each unfinished write of a crash that recovery dropped."""
@@ -76,7 +76,7 @@
     _segment_size_bytes: int = 0
     _pending: list[bytes] = field(default_factory=list)
 
-    def open(self) -> Recovered:
+    def open(self) -> Recovery:
         """Locks the files, recovers their contents and prepares for appending.
 
         Raises LockedError, DamagedError or DiskError; the lock is not held then."""
@@ -87,7 +87,7 @@
             self.files.close()
             raise
 
-    def _recover(self) -> Recovered:
+    def _recover(self) -> Recovery:
         """Reads the newest snapshot and the records after it, and removes what a crash left unfinished."""
         names, dropped = self.files.names(), list[str]()
         for name in [name for name in names if name.endswith(".new")]:
@@ -134,7 +134,7 @@
         if break_location or dropped:
             self._truncate_segments(segments, next_number)
         self._segment_name, self._segment_size_bytes = "", 0
-        return Recovered(state, records, dropped)
+        return Recovery(state, records, dropped)
 
     def _truncate_segments(self, segments: list[str], next_number: int) -> None:
         """Cuts each segment after its intact records below `next_number`.
