--- a/tests/fleet/test_fleet.py
+++ b/tests/fleet/test_fleet.py
@@ -55,7 +55,7 @@
 """
 NO_TURNS = """
 from ponddoor.node.servers import Servers
-Servers.turn = lambda self: 0
+Servers.connect_delay = lambda self: 0
 """
 
 
